--- a/shelfhaven/state/actor.py
+++ b/shelfhaven/state/actor.py
@@ -1,7 +1,7 @@
-"""The durable key store as an actor: between the core's messages and the writer thread.
+"""Actor of the durable key store: connects the core to the writer thread.
 
-Owns the thread, the background tasks and the timers, from the start of the node to its end. It must never
-decide what a fault of the disk means (`disk_health.py` does) or block the event loop.
+Owns the thread, the background tasks and the timers for the lifetime of the node. It never blocks the event
+loop. How requests are handled during a disk fault is decided in `disk_health.py`, not here.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 SAVE_ESTIMATES_INTERVAL = 2.0  # seconds
 MAINTENANCE_INTERVAL = 1.0  # seconds between purges of expired keys
-DRAIN_POLL_INTERVAL = 0.002  # seconds between looks at whether the last writes are on the disk
-MAX_RECONCILED_KEYS = 1024  # uncertain keys of earlier incarnations that are handed on at a start
+DRAIN_POLL_INTERVAL = 0.002  # seconds between checks for unfinished writes while the store shuts down
+MAX_RECONCILED_KEYS = 1024  # uncertain keys of earlier incarnations that a start passes to `reconcile`
 MAX_LOGGED_SECONDS = 1e6  # JSON has no infinity
 
-StateMessage = AdmissionMessage | messages.StoredResultFetched  # what the core is sent
+StateMessage = AdmissionMessage | messages.StoredResultFetched  # messages sent to the core
 
 
 def _no_estimates() -> bytes:
@@ -54,10 +54,11 @@
 
 @dataclass(slots=True)
 class IncarnationHooks:
-    """What the rest of the node does between two incarnations.
+    """Callbacks by which the rest of the node saves data for the next incarnation and restores it.
 
-    `save_estimates`: what it has measured, encoded; `restore_estimates`: takes what the previous incarnation
-    had measured, and how many seconds ago; `reconcile`: takes a key whose run may have had its effect.
+    `save_estimates`: returns the node's encoded estimates, or b"" if there are none.
+    `restore_estimates`: receives the previous incarnation's encoded estimates and their age in seconds.
+    `reconcile`: receives the label of each uncertain key that is found at startup.
     """
 
     save_estimates: Callable[[], bytes] = _no_estimates
@@ -66,7 +67,7 @@
 
 
 class DurableKeyStore:
-    """Actor of the key file; implements `KeyStore` of the core."""
+    """Stores idempotency keys in the key file; implements the core's `KeyStore` protocol."""
 
     def __init__(
         self,
@@ -98,24 +99,24 @@
 
     @property
     def store(self) -> Store | None:
-        """The open file, None before it is opened."""
+        """The open store, or None if the file has not been opened yet."""
         return self._recovery.store
 
-    # From start to end
+    # Startup and shutdown
 
     def start(self) -> None:
-        """Read the keys of earlier incarnations; only keyed requests wait for that."""
+        """Begin to read the keys of earlier incarnations; requests without a key don't wait for it."""
         self._tasks.start(self._recover())
 
     async def end(self) -> None:
-        """Write what is queued, as far as the disk takes it in time, and close the file."""
+        """Commit queued writes for at most `max_wait` seconds, then close the file and stop the thread."""
         self._is_ending = True
         self.writes.cancel_timers()
         if self._maintenance_timer:
             self._maintenance_timer.cancel()
-        until = time.monotonic() + self.settings.disk.max_wait
-        while not self.writes.is_idle and time.monotonic() < until:
-            self.writes.pump()
+        deadline = time.monotonic() + self.settings.disk.max_wait
+        while not self.writes.is_idle and time.monotonic() < deadline:
+            self.writes.start_commit()
             await asyncio.sleep(DRAIN_POLL_INTERVAL)
         self._tasks.cancel()
         if self.store and not self.writes.is_committing:
@@ -125,24 +126,27 @@
         self.writer.stop()
 
     def _save_last_estimates(self, store: Store, estimates: bytes) -> None:
-        """In the writer thread; if it fails, the next incarnation starts as after a crash."""
+        """Save the estimates a last time; runs in the writer thread.
+
+        Errors are ignored: the next incarnation then uses the last periodic save, as it does after a crash.
+        """
         with contextlib.suppress(apsw.Error, OSError):
             store.save_estimates(self.writes.boot, boottime(), estimates)
 
     async def _recover(self) -> None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         recovered = await self._recovery.run(self.writer)
         now = boottime()
         uncertain_period = recovered.uncertain_period(self.settings.uncertain_period)
         self.previous = recovered.previous
         self.previous.mark_loaded(now + uncertain_period)
-        self.writes.open(recovered.store, recovered.start.boot, self._admission)
+        self.writes.open(recovered.store, recovered.startup.boot, self._admission)
         self.disk.mark_loaded()
-        self._log_recovery(recovered, uncertain_period, time.monotonic() - began)
-        if recovered.start.estimates:
-            self.hooks.restore_estimates(recovered.start.estimates, recovered.start.estimates_age)
+        self._log_recovery(recovered, uncertain_period, time.monotonic() - started_at)
+        if recovered.startup.estimates:
+            self.hooks.restore_estimates(recovered.startup.estimates, recovered.startup.estimates_age)
         self._admission.record_deferred(now)
-        if uncertain_period:  # a start before it is over begins it anew
+        if uncertain_period:  # stored, so that a restart within the period begins it again
             await self.writer.run(recovered.store.set_uncertain_period, uncertain_period)
         for label in await self.writer.run(recovered.store.uncertain_labels, now, MAX_RECONCILED_KEYS):
             self.hooks.reconcile(decode_label(label))
@@ -155,13 +159,13 @@
             damaged=recovered.damaged_records,
             unsure=round(uncertain_period, 1),
             seconds=round(seconds, 3),
-            classes_changed=recovered.start.class_summary not in ("", self.settings.class_summary),
+            classes_changed=recovered.startup.class_summary not in ("", self.settings.class_summary),
         )
 
     # Maintenance
 
     def _maintain(self, was_uncertain: bool) -> None:
-        """Purge expired keys, a few at a time, and call itself again."""
+        """Start a purge of expired keys if the disk is healthy and idle, and schedule the next one."""
         now = boottime()
         self.previous.forget_expired(now)
         is_uncertain = self.previous.uncertain_for(now) > 0
@@ -187,34 +191,37 @@
             self._estimates_saved_at = boottime()
             await self.writer.run(store.save_estimates, self.writes.boot, self._estimates_saved_at, estimates)
 
-    # What the core asks
+    # KeyStore protocol
 
     def accepts_work(self) -> bool:
-        """Whether this node is to be given work."""
+        """Return whether this node should receive requests."""
         return self.disk.accepts_work(boottime())
 
     def find_previous(self, key_digest: bytes, key_ttl: float) -> messages.PreviousKey | None:
-        """A key that an earlier incarnation has run, or may have, if it still counts."""
+        """Return the key if an earlier incarnation has run it, or may have, and it has not expired."""
         return self.previous.find(boottime(), key_digest, key_ttl)
 
     def record_intent(self, request_id: int, key: messages.DurableKey) -> None:
-        """A keyed run is to begin: `IntentRecorded` tells whether it may."""
+        """Record that a keyed run is about to begin; `IntentRecorded` then tells whether it may."""
         self._admission.record_intent(request_id, key)
 
     def record_outcome(self, request_id: int, key_digest: bytes, result: bytes | None) -> bool:
-        """A run is over. True if `OutcomeRecorded` follows, before which the answer must not leave."""
+        """Record the outcome of a run.
+
+        Return whether an `OutcomeRecorded` message follows. If so, the answer must not be sent before it.
+        """
         return self._admission.record_outcome(request_id, key_digest, result)
 
     def discard_intent(self, key_digest: bytes) -> None:
-        """A run never began: its key is free."""
+        """Delete the intent of a run that never began, so that its key can be used again."""
         self._admission.discard_intent(key_digest)
 
     def record_uncertain(self, key: messages.DurableKey) -> None:
-        """A run may have had its effect, and nobody will learn of its outcome."""
+        """Record a key whose run may have had its effect, but whose outcome will never be known."""
         self._admission.record_uncertain(key)
 
     def fetch_result(self, request_id: int, key_digest: bytes) -> None:
-        """`StoredResultFetched` brings the result of an earlier incarnation's run, if there is one."""
+        """Read the stored result of an earlier incarnation's run; `StoredResultFetched` delivers it."""
         self._tasks.start(self._fetch_result(request_id, key_digest))
 
     async def _fetch_result(self, request_id: int, digest: bytes) -> None:
@@ -229,7 +236,7 @@
         self._notify(messages.StoredResultFetched(request_id, result))
 
     def load_now(self) -> dict[str, object]:
-        """Figures for the periodic log line; counts begin anew."""
+        """Return the fields for the periodic log line, and reset the counters."""
         counts = dict(self.counts)
         self.counts.clear()
         now = boottime()
--- a/shelfhaven/state/disk_health.py
+++ b/shelfhaven/state/disk_health.py
@@ -1,14 +1,14 @@
-"""What a disk that is slow, full or failing means for keyed requests.
+"""Disk health, and how keyed requests are handled while the disk is slow, full or failing.
 
-Owns the recent health of the disk and the choice that follows from it. It must never do I/O or read a clock:
-its caller passes the time at which a commit began and how it ended.
+Tracks the state of the disk from the start times and results of commits that its caller reports. It does no
+I/O and reads no clock.
 
-Requests without an idempotency key never depend on any of this. For the others the operator chooses what
-holds while the disk does not respond: `refuse` rejects them at once with a Retry-After; `go-on` runs them
-with their keys in memory alone, as a node without a disk does; `leave` rejects them and lets health checks
-fail, so that this node is given no work.
+Requests without an idempotency key are never affected. For keyed requests the operator chooses the handling
+while the disk does not respond: `refuse` rejects them at once with a Retry-After; `go-on` runs them with
+their keys kept in memory only, as a node without a key file does; `leave` rejects them and also fails health
+checks, so that the node receives no requests.
 
-A disk that failed is tried again with an exponential backoff; no request waits for that.
+After a failure the disk is retried with exponential backoff. No request waits for a retry.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MIN_BACKOFF = 0.5  # seconds until a disk that failed is tried again, doubled by each further failure
+MIN_BACKOFF = 0.5  # seconds from a failure to the next attempt; doubles with each consecutive failure
 MAX_BACKOFF = 30.0  # seconds
-MAX_DOUBLINGS = 16  # of the backoff: more would overflow and change nothing
+MAX_DOUBLINGS = 16  # the backoff is at its maximum long before; more could overflow
 MIN_RETRY_AFTER = 0.5  # seconds
 MAX_RETRY_AFTER = 30.0  # seconds
 
 
 class DiskFault(Enum):
-    """How an operation on the disk ended."""
+    """The fault that the last disk operation showed."""
 
     NONE = "none"
     FULL = "full"
-    FAILING = "failing"  # an input or output error, or a damaged file
+    FAILING = "failing"  # an I/O error or a damaged file
 
 
 class DegradedMode(Enum):
-    """What holds for keyed requests while the disk does not respond."""
+    """How keyed requests are handled while the disk does not respond."""
 
     REJECT = "refuse"
     RUN_WITHOUT_DISK = "go-on"
-    FAIL_HEALTH_CHECKS = "leave"  # and reject
+    FAIL_HEALTH_CHECKS = "leave"  # and reject requests
 
 
 class DiskState(Enum):
-    """The health of the disk."""
+    """State of the disk; the values are logged."""
 
-    LOADING = "loading"  # keys of earlier incarnations are being read
+    LOADING = "loading"  # the keys of earlier incarnations have not been read yet
     HEALTHY = "good"
     SLOW = "slow"  # a commit takes longer than a request may wait
     FULL = "full"
@@ -52,8 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DiskSettings:
-    """Bounds on waiting. `max_wait`: seconds that a request waits for the disk; `max_queued_writes`: the
-    length of the queue beyond which further keyed requests are not accepted.
+    """Limits on waiting for the disk, and the handling of requests when it does not respond.
+
+    `max_wait`: the longest time in seconds that a request waits for a write; `max_queued_writes`: the queue
+    length from which on no further keyed requests are accepted.
     """
 
     max_wait: float = 0.1
@@ -62,18 +64,18 @@
 
 
 class DiskHealth:
-    """The health of one node's disk."""
+    """Tracks the state of the disk that holds the key file."""
 
     def __init__(self, settings: DiskSettings) -> None:
         self.settings = settings
         self.loaded = False
         self.fault = DiskFault.NONE
-        self.commit_started_at: float | None = None  # of the commit that is under way
+        self.commit_started_at: float | None = None  # None while no commit is in progress
         self.consecutive_failures = 0
         self.retry_at = -math.inf
 
     def state(self, now: float) -> DiskState:
-        """The health at this moment."""
+        """Return the state of the disk at `now`."""
         if self.fault is not DiskFault.NONE:
             return DiskState.FULL if self.fault is DiskFault.FULL else DiskState.FAILING
         if not self.loaded:
@@ -83,22 +85,22 @@
         return DiskState.SLOW
 
     def mark_loaded(self) -> None:
-        """All keys of earlier incarnations have been read."""
+        """Note that all keys of earlier incarnations have been read."""
         self.loaded = True
         self.fault = DiskFault.NONE
 
     def commit_started(self, now: float) -> None:
-        """A commit is under way."""
+        """Note that a commit has begun."""
         self.commit_started_at = now
 
     def operation_succeeded(self) -> None:
-        """A commit is on the disk."""
+        """Note that a commit has succeeded: clear the fault and the backoff."""
         self.commit_started_at = None
         self.fault = DiskFault.NONE
         self.consecutive_failures = 0
 
     def operation_failed(self, now: float, fault: DiskFault) -> None:
-        """A commit or another operation failed: the disk is left alone for a while."""
+        """Note that a commit or another operation has failed, and set the time of the next attempt."""
         self.commit_started_at = None
         self.fault = fault
         backoff = MIN_BACKOFF * 2.0 ** min(self.consecutive_failures, MAX_DOUBLINGS)
@@ -106,26 +108,28 @@
         self.consecutive_failures += 1
 
     def may_commit(self, now: float) -> bool:
-        """Whether a commit may begin."""
+        """Return whether a commit may begin, which is not the case during the backoff."""
         return self.fault is DiskFault.NONE or now >= self.retry_at
 
     def accepts_write(self, now: float, queued: int) -> bool:
-        """Whether a key that comes now can be written in time; `queued`: the writes before it."""
+        """Return whether a new write is likely to be on disk in time; `queued`: writes ahead of it."""
         return self.state(now) is DiskState.HEALTHY and queued < self.settings.max_queued_writes
 
     def retry_after(self, now: float) -> float:
-        """Seconds after which a rejected caller should come back."""
+        """Return the Retry-After for rejected requests, in seconds."""
         if self.fault is not DiskFault.NONE:
             seconds = self.retry_at - now
         elif self.commit_started_at is not None:
-            seconds = now - self.commit_started_at  # assume that a stall lasts as long again
+            seconds = now - self.commit_started_at  # expect the stall to last as long again
         else:
             seconds = MIN_RETRY_AFTER
         return min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, seconds))
 
     def accepts_work(self, now: float) -> bool:
-        """Whether this node is to be given work: not before it knows the keys of earlier incarnations, then
-        by the operator's choice.
+        """Return whether this node should receive requests.
+
+        It should not while the keys of earlier incarnations are being read, nor while the disk is unhealthy
+        if the operator chose `leave`.
         """
         state = self.state(now)
         if state is DiskState.LOADING:
--- a/shelfhaven/state/disk_monitor.py
+++ b/shelfhaven/state/disk_monitor.py
@@ -1,7 +1,7 @@
-"""Keeps the health of the disk up to date and logs each change of it once.
+"""Reports the results of disk operations to `DiskHealth`, and logs each change of state once.
 
-Owns the mapping of errors to faults. It must never decide what a fault means for requests: `disk_health.py`
-does.
+Owns the mapping of exceptions to faults. How requests are handled during a fault is decided in
+`disk_health.py`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from shelfhaven.state.disk_health import DiskFault, DiskHealth, DiskSettings, DiskState
 from shelfhaven.state.errors import FileInUseError
 
-IN_USE = "taken"  # as the state of the disk in the log
+IN_USE = "taken"  # logged in place of a `DiskState`
 
 
 class DiskMonitor:
-    """What has happened to the disk, for `DiskHealth` and for the log."""
+    """Passes successes and failures to `DiskHealth`, and logs changes of the disk's state."""
 
     def __init__(self, settings: DiskSettings, log: Log) -> None:
         self.health = DiskHealth(settings)
@@ -27,17 +27,17 @@
         self._logged_state = DiskState.HEALTHY.value
 
     def succeeded(self) -> None:
-        """A commit is on the disk."""
+        """Report a successful commit."""
         self.health.operation_succeeded()
         self._log_change(DiskState.HEALTHY.value, "")
 
     def failed(self, error: Exception) -> None:
-        """An operation on the file has failed."""
+        """Report a failed operation on the key file."""
         self.health.operation_failed(boottime(), disk_fault(error))
         self._log_change(self.health.state(boottime()).value, str(error))
 
     def file_in_use(self, error: FileInUseError) -> None:
-        """Another process has the file, which is no fault of the disk."""
+        """Log that another process holds the key file; this does not count as a disk fault."""
         self._log_change(IN_USE, str(error))
 
     def _log_change(self, state: str, error: str) -> None:
@@ -47,7 +47,7 @@
 
 
 def disk_fault(error: Exception) -> DiskFault:
-    """The fault of the disk that an error of SQLite or of the operating system tells of."""
+    """Classify an exception from SQLite or the operating system."""
     is_full = isinstance(error, apsw.FullError)
     is_full = is_full or (isinstance(error, OSError) and error.errno == errno.ENOSPC)
     return DiskFault.FULL if is_full else DiskFault.FAILING
--- a/shelfhaven/state/file_lock.py
+++ b/shelfhaven/state/file_lock.py
@@ -1,6 +1,7 @@
-"""The lock that keeps a second process off the key file.
+"""Lock that prevents two processes from opening the same key file.
 
-Owns the lock file beside the database. The operating system releases the lock when its holder dies.
+The lock is taken on a separate file beside the database. The operating system releases it when the process
+that holds it dies.
 """
 
 from __future__ import annotations
@@ -16,7 +17,10 @@
 
 
 class FileLock:
-    """An exclusive lock, held from its creation until `release`. Raises FileInUseError."""
+    """An exclusive lock, held from construction until `release`.
+
+    The constructor raises FileInUseError if another process holds the lock.
+    """
 
     def __init__(self, path: Path) -> None:
         lock_path = path.with_name(path.name + LOCK_SUFFIX)
@@ -29,7 +33,7 @@
         self._descriptor: int | None = descriptor
 
     def release(self) -> None:
-        """Let another process take the lock; releasing it twice does nothing."""
+        """Release the lock; further calls have no effect."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
@@ -38,6 +42,6 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self.release()
--- a/shelfhaven/state/group_commit.py
+++ b/shelfhaven/state/group_commit.py
@@ -1,7 +1,7 @@
-"""Group commit: all writes that wait when the writer thread is free go in one transaction and one sync.
+"""Group commit: writes that queue up during one commit are committed together, with a single sync.
 
-Owns the queue and the order of the writes in it, which is the order of each key's history. It must never
-decide what a commit or its failure means for a request: its listener does.
+Owns the queue of writes. Their order must be kept, as writes of the same key build on each other. The
+`CommitListener` decides what a commit, or its failure, means for the requests.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from shelfhaven.state.store import Store
 from shelfhaven.state.writer import WriterThread
 
-MAX_COMMIT_WRITES = 512  # in one transaction
-MAX_RETAINED_WRITES = 16_384  # kept in memory for a disk that comes back
+MAX_COMMIT_WRITES = 512  # per transaction
+MAX_RETAINED_WRITES = 16_384  # kept in memory until a failed disk works again
 
 
 @dataclass(eq=False, slots=True)
 class PendingWrite:
-    """A write that is not on the disk yet.
+    """A write that is not on disk yet.
 
-    `request_id`: of the request that waits for it, None if none does; `intent_digest`: of the key, if the
-    write is the intent of a run that may be rejected yet; `timer`: bounds the wait of the request.
+    `request_id`: the request that waits for the write, or None; `intent_digest`: the digest of the key if the
+    write is an intent, else None; `timer`: ends the request's wait.
     """
 
     mutation: Mutation
@@ -41,17 +41,20 @@
 
 
 class CommitListener(Protocol):
-    """Who is notified of what became of writes."""
+    """Receives the results of commits."""
 
     def write_committed(self, write: PendingWrite) -> None:
-        """The write is on the disk."""
+        """Called for each write of a successful commit."""
 
     def commit_failed(self, batch: Sequence[PendingWrite]) -> list[PendingWrite]:
-        """None of them is known to be on the disk; return the writes to be done instead, in their order."""
+        """Called with the writes of a failed commit, each of which may or may not be on disk.
+
+        Return the writes to queue in their place, in order.
+        """
 
 
 class GroupCommit:
-    """The queue of writes and the commit that is under way."""
+    """Queues writes and commits them in batches, one batch at a time."""
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
     ) -> None:
         self.queue: deque[PendingWrite] = deque()
         self.is_committing = False
-        self.boot = 0  # number of this boot of the machine, known once the file is read
+        self.boot = 0  # number of the machine's current boot; set by `open`
         self._settings = settings
         self._disk = disk
         self._writer = writer
@@ -75,41 +78,47 @@
         self._retry_timer: asyncio.TimerHandle | None = None
 
     def open(self, store: Store, boot: int, listener: CommitListener) -> None:
-        """The file is read: writes may go there from now on."""
+        """Set the store and the listener; writes that are queued earlier wait for this."""
         self._store = store
         self._listener = listener
         self.boot = boot
 
     @property
     def is_idle(self) -> bool:
-        """Whether every write is on the disk."""
+        """Whether no write is queued or being committed."""
         return not self.queue and not self.is_committing
 
     def append(self, write: PendingWrite) -> None:
-        """Put a write at the end of the queue."""
+        """Add a write to the end of the queue."""
         self.queue.append(write)
 
     def remove(self, write: PendingWrite) -> bool:
-        """Take a write back; False if it is not in the queue, as its commit is under way or has ended."""
+        """Remove a write from the queue.
+
+        Return False if the write is no longer queued, because its commit has begun.
+        """
         if write not in self.queue:
             return False
         self.queue.remove(write)
         return True
 
     def schedule(self) -> None:
-        """Have the queue committed: now if each write is synced, else with those of the next moments."""
+        """Commit the queue: at once if each write is synced, else after `sync_interval`."""
         if self._settings.sync is SyncMode.EACH:
-            self.pump()
+            self.start_commit()
         elif self._sync_timer is None:
             loop = asyncio.get_running_loop()
-            self._sync_timer = loop.call_later(self._settings.sync_interval, self._sync_due)
+            self._sync_timer = loop.call_later(self._settings.sync_interval, self._on_sync_timer)
 
-    def _sync_due(self) -> None:
+    def _on_sync_timer(self) -> None:
         self._sync_timer = None
-        self.pump()
+        self.start_commit()
+
+    def start_commit(self) -> None:
+        """Begin a commit of queued writes, unless one is in progress.
 
-    def pump(self) -> None:
-        """Begin a commit of what is queued, if none is under way and the disk may be tried."""
+        During the backoff after a disk failure, schedule a retry instead.
+        """
         if self.is_committing or not self.queue or self._store is None or self._listener is None:
             return
         now = boottime()
@@ -124,7 +133,7 @@
     def _retry_later(self, delay: float) -> None:
         if self._retry_timer:
             self._retry_timer.cancel()
-        self._retry_timer = asyncio.get_running_loop().call_later(delay, self.pump)
+        self._retry_timer = asyncio.get_running_loop().call_later(delay, self.start_commit)
 
     async def _commit(self, store: Store, listener: CommitListener, batch: list[PendingWrite]) -> None:
         mutations = [write.mutation for write in batch]
@@ -134,7 +143,7 @@
             self.is_committing = False
             self._disk.failed(error)
             self._requeue(listener.commit_failed(batch))
-            self.pump()
+            self.start_commit()
             return
         self.is_committing = False
         self._disk.succeeded()
@@ -142,23 +151,24 @@
         self._counts["writes"] += len(batch)
         for write in batch:
             listener.write_committed(write)
-        self.pump()
+        self.start_commit()
 
     def _requeue(self, writes: list[PendingWrite]) -> None:
-        """Put writes before all that came later, as the writes of a key have an order.
+        """Put writes back at the head of the queue, to keep the order of the writes of each key.
 
-        Those that find no place are dropped: the intents of their keys stay, so those keys count as run.
+        Writes beyond `MAX_RETAINED_WRITES` are dropped. The intents of their keys then stay on disk, so that
+        these keys count as run.
         """
-        places = max(0, MAX_RETAINED_WRITES - len(self.queue))
-        self.queue.extendleft(reversed(writes[:places]))
+        capacity = max(0, MAX_RETAINED_WRITES - len(self.queue))
+        self.queue.extendleft(reversed(writes[:capacity]))
 
     def operation_failed(self, error: Exception) -> None:
-        """Another operation on the file has failed."""
+        """Report the failure of an operation other than a commit."""
         self._disk.failed(error)
-        self.pump()
+        self.start_commit()
 
     def cancel_timers(self) -> None:
-        """Begin no further commit by itself; `pump` still does."""
+        """Stop committing on timers; `start_commit` still begins a commit when called."""
         for timer in (self._sync_timer, self._retry_timer):
             if timer:
                 timer.cancel()
--- a/shelfhaven/state/previous_incarnation.py
+++ b/shelfhaven/state/previous_incarnation.py
@@ -1,15 +1,15 @@
-"""Keys that earlier incarnations of this node have run, as far as anybody can tell.
+"""In-memory table of the keys that earlier incarnations of this node have run or may have run.
 
-Owns their prefixes with their expiry times, and for how long keys that are *not* among them may have run all
-the same. It must never do I/O or read a clock.
+Holds a digest prefix and the expiry time of each key, and the period during which keys that are *not* in the
+table may have run as well. It does no I/O and reads no clock.
 
-A key costs 16 bytes: eight of its digest and its expiry time. Two keys whose digests share eight bytes are
-taken for one, and the later one for a duplicate: once in 2^64 / n^2 starts.
+Each key takes 16 bytes: an 8-byte prefix of its digest and its expiry time. If two digests share a prefix,
+the later key is wrongly treated as a duplicate; with n keys this happens about once in 2^64 / n^2 starts.
 
-Keys that might be missing make every key *uncertain*: any attempt is then taken for a duplicate of a run of
-which nothing is known. That is so while keys are being read, and for the longest time that a key can count
-after a start from a damaged file or an older snapshot. What `sync "every"` may have lost in the last moments
-before a crash is not covered: the operator has chosen to risk it.
+While keys may be missing from the table, every key is *uncertain*: any attempt is treated as a duplicate of
+a run with an unknown outcome. This is the case until all keys have been read, and after a start from a
+damaged file or an older snapshot for the longest time that a key can count. Writes that `sync "every"` loses
+in a crash are not covered; the operator accepts this risk by choosing that mode.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
 
 from shelfhaven.server.messages import PreviousKey
 
-PREFIX_BYTES = 8  # of a digest
+PREFIX_BYTES = 8  # length of a digest prefix
 
 
 class PreviousIncarnation:
-    """Key prefixes in ascending order; times on this boot's clock."""
+    """Digest prefixes in ascending order, with expiry times on the clock of the current boot."""
 
     def __init__(self) -> None:
         self.prefixes = array("Q")
         self.expiries = array("d")
         self.latest_expiry = -math.inf
-        self.uncertain_until = math.inf  # until all keys are read
+        self.uncertain_until = math.inf  # set by `mark_loaded`
 
     def add(self, digest: bytes, expires_at: float) -> None:
-        """Add the next key; its digest must not be smaller than the one before."""
+        """Append a key; digests must be added in ascending order."""
         self.prefixes.append(int.from_bytes(digest[:PREFIX_BYTES], "big"))
         self.expiries.append(expires_at)
         self.latest_expiry = max(self.latest_expiry, expires_at)
 
     def mark_loaded(self, uncertain_until: float) -> None:
-        """All keys are read; until then a key that is not among them may have run all the same."""
+        """Note that all keys have been read; keys not among them stay uncertain until `uncertain_until`."""
         self.uncertain_until = uncertain_until
 
     def find(self, now: float, digest: bytes, key_ttl: float) -> PreviousKey | None:
-        """A key that has run, or may have, if it still counts.
+        """Return the key if it has run, or may have, and has not expired.
 
-        One that only *may* have run did so before the start, and no longer counts after its TTL.
+        A key that is only uncertain would have run before the start, so it counts for at most its TTL.
         """
         remaining = self.remaining(now, digest)
         if remaining > 0:
@@ -54,7 +54,7 @@
         return PreviousKey(uncertain_for, is_recorded=False) if uncertain_for > 0 else None
 
     def remaining(self, now: float, digest: bytes) -> float:
-        """Seconds for which a key that an earlier incarnation ran still counts; 0 if there is none."""
+        """Return the seconds until a recorded key expires, or 0 if it is expired or not recorded."""
         prefix = int.from_bytes(digest[:PREFIX_BYTES], "big")
         index = bisect_left(self.prefixes, prefix)
         if index < len(self.prefixes) and self.prefixes[index] == prefix:
@@ -62,11 +62,11 @@
         return 0.0
 
     def uncertain_for(self, now: float) -> float:
-        """Seconds for which any key may have been run by an earlier incarnation."""
+        """Return the seconds for which every key stays uncertain."""
         return max(0.0, self.uncertain_until - now)
 
     def forget_expired(self, now: float) -> None:
-        """Give the memory back once every key has expired."""
+        """Release the memory of the table once all keys in it have expired."""
         if self.prefixes and not self.uncertain_for(now) and self.latest_expiry <= now:
             self.prefixes = array("Q")
             self.expiries = array("d")
--- a/shelfhaven/state/quarantine.py
+++ b/shelfhaven/state/quarantine.py
@@ -1,6 +1,6 @@
-"""Quarantine of damaged and replaced key files, which are renamed and never deleted.
+"""Quarantine: damaged or replaced key files are renamed, never deleted.
 
-Owns the names that such files get. It must never open a database.
+Defines the names of quarantined files. It never opens a database.
 """
 
 from __future__ import annotations
@@ -8,14 +8,16 @@
 import contextlib
 from pathlib import Path
 
-QUARANTINE_INFIX = ".aside-"  # between a file's name and a number
-DATABASE_SUFFIXES = ("", "-wal", "-shm")  # of the files that make up one database
+QUARANTINE_INFIX = ".aside-"  # quarantined files are named NAME.aside-NUMBER
+# main file, write-ahead log and shared memory of an SQLite database
+DATABASE_SUFFIXES = ("", "-wal", "-shm")
 
 
 def quarantine_file(path: Path, number: int) -> Path:
-    """Rename a database and the files that belong to it; return the database's new path.
+    """Rename a database with its write-ahead log and shared memory; return the new path.
 
-    The database goes first: a start after a crash in between finds none in place, and one in quarantine.
+    The main file is renamed first. After a crash in between, the next start therefore finds no database at
+    `path`, but a quarantined one, and treats every key as uncertain.
     """
     target = path.with_name(f"{path.name}{QUARANTINE_INFIX}{number}")
     for suffix in DATABASE_SUFFIXES:
@@ -25,5 +27,5 @@
 
 
 def has_quarantined(path: Path) -> bool:
-    """Whether a file that was in this place is in quarantine."""
+    """Return whether a file with this path was quarantined before."""
     return any(path.parent.glob(f"{path.name}{QUARANTINE_INFIX}*"))
--- a/shelfhaven/state/recovery.py
+++ b/shelfhaven/state/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: opening the key file at a start and reading the keys of earlier incarnations.
+"""Recovery: opens the key file at startup and reads the keys of earlier incarnations.
 
-Owns the store while it is opened. A damaged file is quarantined and replaced by an empty one; from then on
-any key may have run, until the longest time that a key can count is over (the uncertain period).
+Owns the store until the file has been read. A damaged file is quarantined and replaced by an empty one. Any
+key may then have run, until the longest time that a key can count is over (the uncertain period).
 """
 
 from __future__ import annotations
@@ -22,41 +22,44 @@
 from shelfhaven.state.quarantine import quarantine_file
 from shelfhaven.state.schema import DAMAGE_ERRORS
 from shelfhaven.state.settings import StateSettings
-from shelfhaven.state.store import Store, StoreStart
+from shelfhaven.state.store import StartupState, Store
 from shelfhaven.state.writer import WriterThread
 
-MIN_RETRY_DELAY = 0.2  # seconds until a file that cannot be opened is tried again
+MIN_RETRY_DELAY = 0.2  # seconds before another attempt to open the file
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredFile:
-    """An open file whose keys have been read."""
+    """The open key file, with the keys that were read from it."""
 
     store: Store
-    start: StoreStart
+    startup: StartupState
     previous: PreviousIncarnation
     damaged_records: int
 
     def uncertain_period(self, longest: float) -> float:
-        """Seconds for which keys may have run that were not read; a key can count for `longest` seconds."""
-        return longest if self.damaged_records else min(self.start.uncertain_period, longest)
+        """Return the seconds for which keys missing from the file may have run.
+
+        `longest`: the longest time in seconds that a key can count.
+        """
+        return longest if self.damaged_records else min(self.startup.uncertain_period, longest)
 
 
 class Recovery:
-    """Opens the file, however often it takes."""
+    """Opens and reads the key file, and retries until it succeeds."""
 
     def __init__(
         self, settings: StateSettings, disk: DiskMonitor, open_store: Callable[[], Store], log: Log
     ) -> None:
-        self.store: Store | None = None  # open, though perhaps not read yet
+        self.store: Store | None = None  # None until the file is open
         self._settings = settings
         self._disk = disk
         self._open_store = open_store
         self._log = log
 
     async def run(self, writer: WriterThread) -> RecoveredFile:
-        """Try until the file is open and read."""
+        """Open and read the file, with retries after errors."""
         while True:
             try:
                 return await writer.run(self.recover)
@@ -68,12 +71,12 @@
                 await asyncio.sleep(max(MIN_RETRY_DELAY, self._disk.health.retry_at - boottime()))
 
     def recover(self) -> RecoveredFile:
-        """In the writer thread: read the file, or an empty one in place of a damaged one."""
+        """Open and read the file, replacing a damaged one; runs in the writer thread."""
         try:
             return self._open_and_read()
         except FileDamagedError as error:
-            quarantined = quarantine_file(self._settings.file, time.time_ns())
-            self._log.event("keys_damaged", error=str(error), aside=str(quarantined))
+            quarantined_path = quarantine_file(self._settings.file, time.time_ns())
+            self._log.event("keys_damaged", error=str(error), aside=str(quarantined_path))
             return self._open_and_read()
 
     def _open_and_read(self) -> RecoveredFile:
@@ -88,23 +91,26 @@
 
     def _read(self, store: Store) -> RecoveredFile:
         if not store.is_consistent():
-            raise apsw.CorruptError("its pages do not hang together")
-        start = store.begin(
+            raise apsw.CorruptError("inconsistent database pages")
+        startup = store.begin(
             boottime(), boot_id(), self._settings.class_summary, self._settings.uncertain_period
         )
         previous = PreviousIncarnation()
-        damaged = 0
+        damaged_records = 0
         for page in store.pages(boottime()):
             for expiry in page:
                 if expiry is None:
-                    damaged += 1
+                    damaged_records += 1
                 else:
                     previous.add(expiry.digest, expiry.expires_at)
-        return RecoveredFile(store, start, previous, damaged)
+        return RecoveredFile(store, startup, previous, damaged_records)
 
 
 def boot_id() -> str:
-    """The identifier of this boot of the machine; "" where there is none, which equals no other boot's."""
+    """Return the identifier of the machine's current boot, or "" if the system provides none.
+
+    `Store.begin` takes each start with an empty identifier for a new boot.
+    """
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
--- a/shelfhaven/state/saved_estimates.py
+++ b/shelfhaven/state/saved_estimates.py
@@ -1,12 +1,13 @@
-"""Estimates that a node saves for its next incarnation, and the weight they have once they are older.
+"""Estimates that a node saves for its next incarnation, and their weight according to age.
 
-Owns the encoding and the weighting. It must never do I/O or read a clock, and never save what a node *did*
-about its measurements (admitted share, concurrency limit, Retry-After values): those answer a load that has
-changed by then. Callers are left out too, as the tokens that name them are numbered anew by each incarnation.
+Defines the encoding and the weighting; does no I/O and reads no clock. Only measurements are saved, not the
+decisions derived from them (admitted share, concurrency limit, Retry-After values), as the load will have
+changed after a restart. Estimates of callers are not saved either, because each incarnation numbers its
+callers anew.
 
-A start takes saved estimates as a prior whose weight halves with each half-life of their age: after a restart
-within seconds nearly all of it counts, after a minute none. Estimates of another boot are never used, as
-nobody knows how long ago that was, nor are values out of range.
+After a restart, saved estimates serve as a prior whose weight halves with each half-life of their age: they
+count almost fully after a few seconds and not at all after a minute. Estimates of an earlier boot are not
+used, as their age is unknown. Values out of range are rejected.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from shelfhaven.routing.warm_start import BackendEstimate, from_json_values, to_json_values
 
 HALF_LIFE = 10.0  # seconds
-MIN_WEIGHT = 0.05  # a prior that would count for less is not used at all
+MIN_WEIGHT = 0.05  # estimates with a lower weight are ignored
 MAX_CLASSES = 256
 MAX_POOLS = 64
-MAX_DURATION = 1e6  # seconds; an estimate this long or longer is not credible
+MAX_DURATION = 1e6  # seconds; exclusive upper bound of a plausible estimate
 
 
 class ClassEstimates(NamedTuple):
-    """Means of one class in seconds; 0 where nothing is known."""
+    """Mean durations of one class in seconds; 0 if unknown."""
 
     run_mean: float = 0.0
     hint_mean: float = 0.0
@@ -37,7 +38,7 @@
 
 
 class CallEstimates(NamedTuple):
-    """Mean and deviation of a downstream call's duration in seconds."""
+    """Mean and deviation of the duration of downstream calls, in seconds."""
 
     mean: float = 0.0
     deviation: float = 0.0
@@ -45,7 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolEstimates:
-    """A pool: the usual duration of a run of each class in seconds, and what is known of its servers."""
+    """Estimates of one pool.
+
+    `usual_durations`: the usual duration of a run in seconds, by class; `servers`: estimates by server name.
+    """
 
     usual_durations: Mapping[str, float] = field(default_factory=dict)
     servers: Mapping[str, BackendEstimate] = field(default_factory=dict)
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedEstimates:
-    """All estimates of a node: classes and pools by name, and downstream calls."""
+    """All saved estimates of a node; classes and pools are keyed by name."""
 
     classes: Mapping[str, ClassEstimates] = field(default_factory=dict)
     call: CallEstimates = field(default_factory=CallEstimates)
@@ -61,19 +65,22 @@
 
 
 def prior_weight(age: float) -> float:
-    """The weight of estimates that are `age` seconds old, from 0 to 1."""
+    """Return the weight, from 0 to 1, of estimates that are `age` seconds old."""
     weight = 0.5 ** (max(0.0, age) / HALF_LIFE)
     return float(weight) if weight >= MIN_WEIGHT else 0.0
 
 
 def classes_by_name(names: Sequence[str], estimates: LearnedEstimates) -> dict[str, ClassEstimates]:
-    """The controller's estimates of classes, by the names of the classes."""
+    """Convert the controller's estimates, listed in the order of `names`, to estimates by class name."""
     means = zip(estimates.run_means, estimates.hint_means, estimates.hinted_run_means, strict=True)
     return dict(zip(names, map(ClassEstimates._make, means), strict=True))
 
 
 def for_controller(names: Sequence[str], saved: SavedEstimates) -> LearnedEstimates:
-    """The estimates as a controller takes them, whose classes may be others than those that were saved."""
+    """Convert saved estimates for a controller whose classes are `names`.
+
+    The classes may have changed since the estimates were saved; values of new classes are 0.
+    """
     classes = [saved.classes.get(name, ClassEstimates()) for name in names]
     return LearnedEstimates(
         tuple(estimates.run_mean for estimates in classes),
@@ -85,20 +92,20 @@
 
 
 def servers_after(pool: PoolEstimates, age: float) -> dict[str, BackendEstimate]:
-    """What is known of a pool's servers, `age` seconds after it was saved."""
+    """Return the estimates of a pool's servers as they stand `age` seconds after they were saved."""
     return {
         name: BackendEstimate(
-            known.relative_latency,
-            known.concurrency_limit,
-            max(0.0, known.ejected_for - age),
-            known.age + age,
+            estimate.relative_latency,
+            estimate.concurrency_limit,
+            max(0.0, estimate.ejected_for - age),
+            estimate.age + age,
         )
-        for name, known in pool.servers.items()
+        for name, estimate in pool.servers.items()
     }
 
 
 def encode(saved: SavedEstimates) -> bytes:
-    """The estimates as they are stored."""
+    """Encode estimates for storage."""
     classes = {name: tuple(estimates) for name, estimates in saved.classes.items()}
     pools = {
         name: [dict(pool.usual_durations), to_json_values(pool.servers)] for name, pool in saved.pools.items()
@@ -106,18 +113,18 @@
     return orjson.dumps([classes, tuple(saved.call), pools])
 
 
-def decode(raw: bytes) -> SavedEstimates:
-    """The estimates that `encode` made `raw` of. Raises ValueError for anything else."""
-    document = orjson.loads(raw)
+def decode(data: bytes) -> SavedEstimates:
+    """Decode the output of `encode`. Raises ValueError for any other data."""
+    document = orjson.loads(data)
     if not isinstance(document, list) or len(document) != 3:
-        raise ValueError("not what a life has learned")
+        raise ValueError("saved estimates are not a list of 3 items")
     classes, call, pools = document
     if not isinstance(classes, dict) or not isinstance(pools, dict) or len(classes) > MAX_CLASSES:
-        raise ValueError("no tables of classes and pools")
+        raise ValueError("saved classes or pools are not JSON objects, or there are too many classes")
     if len(pools) > MAX_POOLS or not all(
         isinstance(pool, list) and len(pool) == 2 for pool in pools.values()
     ):
-        raise ValueError("no pools")
+        raise ValueError("too many saved pools, or a pool is not a list of 2 items")
     pools_by_name = {
         name: PoolEstimates(_decode_durations(durations), from_json_values(servers))
         for name, (durations, servers) in pools.items()
@@ -129,18 +136,18 @@
     return SavedEstimates(class_estimates, call_estimates, pools_by_name)
 
 
-def _decode_numbers(raw: object, count: int) -> list[float]:
-    if not isinstance(raw, list) or len(raw) != count:
-        raise ValueError(f"not {count} numbers")
-    for number in raw:
+def _decode_numbers(data: object, count: int) -> list[float]:
+    if not isinstance(data, list) or len(data) != count:
+        raise ValueError(f"expected a list of {count} numbers")
+    for number in data:
         if isinstance(number, bool) or not isinstance(number, int | float) or not 0 <= number < MAX_DURATION:
-            raise ValueError(f"{number!r} is no time")
+            raise ValueError(f"{number!r} is not a valid duration")
         if not math.isfinite(number):
-            raise ValueError("not finite")
-    return [float(number) for number in raw]
+            raise ValueError("duration is not finite")
+    return [float(number) for number in data]
 
 
-def _decode_durations(raw: object) -> dict[str, float]:
-    if not isinstance(raw, dict) or len(raw) > MAX_CLASSES:
-        raise ValueError("no table")
-    return dict(zip(map(str, raw), _decode_numbers(list(raw.values()), len(raw)), strict=True))
+def _decode_durations(data: object) -> dict[str, float]:
+    if not isinstance(data, dict) or len(data) > MAX_CLASSES:
+        raise ValueError("durations are not a JSON object, or there are too many")
+    return dict(zip(map(str, data), _decode_numbers(list(data.values()), len(data)), strict=True))
--- a/shelfhaven/state/schema.py
+++ b/shelfhaven/state/schema.py
@@ -1,6 +1,6 @@
-"""The format of the key file: its tables, and how a file of another kind is told apart.
+"""Format of the key file: its tables, and the numbers in its header that identify it.
 
-Owns the schema and the file's format number. It must never change a file that is not empty.
+Owns the schema and the format version. It never changes a file that is not empty.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 
 import apsw
 
-FORMAT_VERSION = 1  # SQLite's `user_version`
-APPLICATION_ID = 0x53484B59  # SQLite's `application_id`, in the file's header
+FORMAT_VERSION = 1  # stored as SQLite's `user_version`
+APPLICATION_ID = 0x53484B59  # stored as SQLite's `application_id`; "SHKY" in ASCII
 
 SCHEMA = """
 CREATE TABLE meta(name TEXT PRIMARY KEY, value) WITHOUT ROWID;
@@ -23,16 +23,16 @@
 CREATE INDEX by_end ON keys(boot, ends);
 """
 
-# the columns of a `RecordHead`, cast because damage may have changed their types
+# the columns of a `RecordHead`; cast, as values in a damaged file may have other types
 HEAD_COLUMNS = """CAST(id AS BLOB), CAST(how AS INTEGER), CAST(boot AS INTEGER), CAST(ends AS REAL),
 CAST(told AS BLOB), CAST(result_mac AS BLOB), CAST(mac AS BLOB)"""
 
-# what SQLite and the decoding of its values raise on a damaged file
+# raised by SQLite, or when its values are decoded, if the file is damaged
 DAMAGE_ERRORS = (apsw.CorruptError, apsw.NotADBError, UnicodeDecodeError, TypeError, ValueError)
 
 
 class MetaName(StrEnum):
-    """Names in the table `meta`."""
+    """Names of the values in the table `meta`."""
 
     CLASS_SUMMARY = "told"
     UNCERTAIN_PERIOD = "unsure"
@@ -44,32 +44,32 @@
 def rows(
     database: apsw.Connection, statement: str, bindings: tuple[object, ...] = ()
 ) -> list[tuple[Any, ...]]:
-    """All rows of a query; damage may have changed their types."""
+    """Return all rows of a query; in a damaged file, values may have unexpected types."""
     return database.execute(statement, bindings).fetchall()
 
 
 def scalar(database: apsw.Connection, statement: str) -> object:
-    """The one value of a query that has exactly one."""
+    """Return the value of a query with one row and one column."""
     return rows(database, statement)[0][0]
 
 
 def format_version(database: apsw.Connection) -> object:
-    """The format number in the file's header, 0 in a new file."""
+    """Return the format version in the file's header; 0 in a new file."""
     return scalar(database, "PRAGMA user_version")
 
 
 def application_id(database: apsw.Connection) -> object:
-    """The application number in the file's header."""
+    """Return the application id in the file's header; 0 in a new file."""
     return scalar(database, "PRAGMA application_id")
 
 
 def has_tables(database: apsw.Connection) -> bool:
-    """Whether anything has been created in the file."""
+    """Return whether the database contains any table, index, view or trigger."""
     return scalar(database, "SELECT count(*) FROM sqlite_schema") != 0
 
 
 def create(database: apsw.Connection) -> None:
-    """Create the tables of a new file in one transaction."""
+    """Create the tables and the header of a new file in one transaction."""
     with database:
         database.execute(SCHEMA)
         database.execute(f"PRAGMA application_id={APPLICATION_ID}").fetchall()
--- a/shelfhaven/state/settings.py
+++ b/shelfhaven/state/settings.py
@@ -1,6 +1,6 @@
-"""The operator's settings of the durable key store.
+"""Settings of the durable key store.
 
-Owns the values alone; imported without the library that reads the file.
+This module does not depend on apsw, so that the configuration can be read where apsw is not installed.
 """
 
 from __future__ import annotations
@@ -15,19 +15,23 @@
 class SyncMode(Enum):
     """When a write is acknowledged."""
 
-    EACH = "each"  # once it is on the disk
-    EVERY = "every"  # at once; it is on the disk some milliseconds later
-    NONE = "none"  # at once; the operating system has it, which outlives the process but not the machine
+    EACH = "each"  # once it is on disk
+    EVERY = "every"  # at once; it is committed and synced after `sync_interval`
+    NONE = (
+        "none"  # at once; commits are not synced: they survive a crash of the process, but not of the machine
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class StateSettings:
     """Where and how keys are stored.
 
-    `sync_interval`: seconds between commits unless each write is synced; `max_result_bytes`: longer results
-    are not stored; `uncertain_period`: the longest time in seconds for which a key can count, its TTL and the
-    deadline of its class together; `class_summary`: the keyed classes with their TTLs and deadlines in words,
-    so that a start can log that they have changed.
+    `sync_interval`: seconds from a write to its commit, unless each write is synced.
+    `max_result_bytes`: longer results are not stored.
+    `uncertain_period`: the longest time in seconds that a key can count: the largest sum of a class's key TTL
+    and deadline.
+    `class_summary`: the keyed classes with their TTLs and deadlines as text; a start compares it with the
+    stored one and logs whether it has changed.
     """
 
     file: Path
--- a/shelfhaven/state/store.py
+++ b/shelfhaven/state/store.py
@@ -1,9 +1,11 @@
-"""The key file: SQLite with a write-ahead log, by apsw.
+"""The key file: a SQLite database with a write-ahead log, accessed through apsw.
 
-Owns the open file and its transactions. It must never be called from two threads at a time, nor store a time
-that the wall clock can change: expiry times are on the clock of leases, which starts anew with each boot of
-the machine, and the time that passes between two boots counts as nothing, so that a key is kept too long and
-never too short. What each boot's times have to be shifted by is in the table `boots`.
+Owns the open file and its transactions. It must not be used by two threads at a time.
+
+Expiry times must not depend on the wall clock, which can be changed. They are on the clock in
+`membership/clock.py`, which restarts at each boot of the machine. The time between two boots is not counted,
+so that a key may be kept too long, but is never dropped too early. The table `boots` holds the offset that
+converts the times of each boot to the current clock.
 """
 
 from __future__ import annotations
@@ -24,19 +26,21 @@
 from shelfhaven.state.records import DeleteRecord, Mutation, RecordHead, is_intact
 from shelfhaven.state.schema import HEAD_COLUMNS, MetaName
 
-PURGE_LIMIT = 2000  # expired records that are deleted in one transaction
-CHECKPOINT_PAGES = 1000  # length of the write-ahead log at which SQLite moves it into the database
+PURGE_LIMIT = 2000  # expired records deleted per transaction
+CHECKPOINT_PAGES = 1000  # length of the write-ahead log, in pages, at which SQLite checkpoints it
 
 MetaValue = TypeVar("MetaValue", str, int, float, bytes)
 
 
 @dataclass(frozen=True, slots=True)
-class StoreStart:
-    """What an incarnation finds in the file.
-
-    `boot`: the number of this boot of the machine; `uncertain_period`: seconds for which keys may have run
-    that are not in the file; `class_summary`: that of the last start, "" in a new file; `estimates`: what the
-    last incarnation had measured, b"" if that was in another boot; `estimates_age`: in seconds.
+class StartupState:
+    """What an incarnation reads from the file when it starts.
+
+    `boot`: the number of the machine's current boot.
+    `uncertain_period`: seconds for which keys that are not in the file may have run.
+    `class_summary`: the summary stored by the previous start, or "" in a new file.
+    `estimates`: the encoded estimates of the previous incarnation, or b"" if it ran in another boot.
+    `estimates_age`: the age of the estimates in seconds.
     """
 
     boot: int
@@ -47,11 +51,16 @@
 
 
 class Store(KeyReader):
-    """One open file. Raises FileDamagedError, FileInUseError, StoreError, apsw.Error and OSError."""
+    """An open key file with read and write access.
+
+    Raises FileDamagedError, FileInUseError, StoreError, apsw.Error and OSError.
+    """
 
     def __init__(self, path: Path, sync: bool, vfs: str | None = None, lock: bool = True) -> None:
-        """`sync`: whether a commit is on the disk when it returns; `vfs`: SQLite's file layer, by name;
-        `lock`: False for tests whose file layer has no lock files.
+        """Open the file, or create it.
+
+        `sync`: whether a commit returns only once it is on disk; `vfs`: the name of the SQLite VFS to use;
+        `lock`: False for tests with a VFS in memory, where there can be no lock file.
         """
         self.path = path
         self._lock = FileLock(path) if lock else None
@@ -77,23 +86,27 @@
         self.database.execute(f"PRAGMA {text}").fetchall()
 
     def _is_new(self) -> bool:
-        """Whether the file is empty. Raises StoreError for one of another format or application."""
-        found = schema.format_version(self.database)
-        if found == schema.FORMAT_VERSION and schema.application_id(self.database) == schema.APPLICATION_ID:
+        """Return whether the file is empty.
+
+        Raises StoreError if its format version is unknown or it belongs to another application.
+        """
+        version = schema.format_version(self.database)
+        if version == schema.FORMAT_VERSION and schema.application_id(self.database) == schema.APPLICATION_ID:
             return False
-        if found or schema.has_tables(self.database):
+        if version or schema.has_tables(self.database):
             raise StoreError(
-                f"{self.path}: format {found}, not {schema.FORMAT_VERSION}, or a file of something else"
+                f"{self.path}: format version {version} instead of {schema.FORMAT_VERSION}, "
+                "or a file of another application"
             )
         return True
 
     def begin(
         self, now: float, boot_id: str, class_summary: str, uncertain_period: float = 0.0
-    ) -> StoreStart:
-        """Begin an incarnation at `now` on this boot's clock.
+    ) -> StartupState:
+        """Begin an incarnation; `now` is on the clock of the current boot.
 
-        Keys may have run for `uncertain_period` seconds if this file is new and a damaged one in quarantine.
-        That is written in the transaction that makes the file this incarnation's, so that no crash loses it.
+        If this file is new and an earlier one was quarantined, `uncertain_period` is stored in the same
+        transaction as the class summary, which marks the file as used, so that a crash cannot lose it.
         """
         with self.database:
             boot = self._begin_boot(now, boot_id)
@@ -103,41 +116,43 @@
             uncertain_period = float(self._meta(MetaName.UNCERTAIN_PERIOD, 0.0))
             self._put_meta(MetaName.CLASS_SUMMARY, class_summary)
         if self._meta(MetaName.ESTIMATES_BOOT, 0) != boot:
-            return StoreStart(boot, uncertain_period, previous_summary)
+            return StartupState(boot, uncertain_period, previous_summary)
         estimates = bytes(self._meta(MetaName.ESTIMATES, b""))
         age = now - float(self._meta(MetaName.ESTIMATES_SAVED_AT, now))
-        return StoreStart(boot, uncertain_period, previous_summary, estimates, age)
+        return StartupState(boot, uncertain_period, previous_summary, estimates, age)
 
     def _begin_boot(self, now: float, boot_id: str) -> int:
-        """The number of this boot. A new one shifts the times of all earlier ones, by the last time that was
-        noted in the last of them.
+        """Return the number of the current boot, and record it if it is new.
+
+        A new boot continues from the last time that was recorded in the previous boot: the difference between
+        the clocks is added to the offsets of all earlier boots.
         """
-        found = schema.rows(self.database, "SELECT number, id, at FROM boots ORDER BY number DESC LIMIT 1")
-        if not found:
+        latest = schema.rows(self.database, "SELECT number, id, at FROM boots ORDER BY number DESC LIMIT 1")
+        if not latest:
             boot = 1
         else:
-            last_number, last_id, last_noted = found[0]
+            last_number, last_id, last_recorded_at = latest[0]
             if boot_id and last_id == boot_id:
                 return int(last_number)
             boot = int(last_number) + 1
-            self.database.execute("UPDATE boots SET shift = shift + ?", (now - last_noted,))
+            self.database.execute("UPDATE boots SET shift = shift + ?", (now - last_recorded_at,))
         self.database.execute("INSERT INTO boots VALUES(?, ?, ?, 0.0)", (boot, boot_id, now))
         return boot
 
     def _meta(self, name: MetaName, default: MetaValue) -> MetaValue:
-        found = schema.rows(self.database, "SELECT value FROM meta WHERE name=?", (name,))
-        return found[0][0] if found else default
+        rows = schema.rows(self.database, "SELECT value FROM meta WHERE name=?", (name,))
+        return rows[0][0] if rows else default
 
     def _put_meta(self, name: MetaName, value: object) -> None:
         self.database.execute("INSERT OR REPLACE INTO meta VALUES(?, ?)", (name, value))
 
     def set_uncertain_period(self, seconds: float) -> None:
-        """For so long after the next start any key may have run; 0: only those in the file."""
+        """Store how long after the next start any key may have run; 0 means only those in the file."""
         with self.database:
             self._put_meta(MetaName.UNCERTAIN_PERIOD, seconds)
 
     def end_uncertain_period(self) -> None:
-        """The file is complete again: whatever keys the damaged records were of, they have expired."""
+        """Delete damaged records and clear the uncertain period, as the lost keys have expired by now."""
         heads = map(RecordHead._make, self.database.execute(f"SELECT {HEAD_COLUMNS} FROM keys"))
         damaged = [(head.digest,) for head in heads if not is_intact(head)]
         with self.database:
@@ -145,14 +160,14 @@
             self._put_meta(MetaName.UNCERTAIN_PERIOD, 0.0)
 
     def save_estimates(self, boot: int, now: float, estimates: bytes) -> None:
-        """Save what this incarnation has measured, with the time."""
+        """Store the encoded estimates of this incarnation with the boot number and the time."""
         with self.database:
             self._put_meta(MetaName.ESTIMATES, estimates)
             self._put_meta(MetaName.ESTIMATES_BOOT, boot)
             self._put_meta(MetaName.ESTIMATES_SAVED_AT, now)
 
     def commit(self, mutations: Sequence[Mutation], boot: int, now: float) -> None:
-        """Do all mutations or none, and note the time in the same transaction."""
+        """Apply all mutations and update the last recorded time of the boot, in one transaction."""
         with self.database:
             for mutation in mutations:
                 self._apply(mutation)
@@ -170,7 +185,7 @@
         self.database.execute("INSERT OR REPLACE INTO keys VALUES(?,?,?,?,?,?,?,?)", values)
 
     def purge(self, now: float) -> int:
-        """Delete some expired records; how many."""
+        """Delete up to `PURGE_LIMIT` expired records; return how many were deleted."""
         count = 0
         with self.database:
             for boot, offset in self.boot_offsets().items():
@@ -182,13 +197,13 @@
         return count
 
     def compact(self) -> None:
-        """Give unused space back to the file system."""
+        """Rebuild the database without unused pages, and truncate the write-ahead log."""
         self.database.execute("VACUUM")
         self._pragma("wal_checkpoint(truncate)")
 
     def close(self) -> None:
         """Close the file and release its lock."""
-        with contextlib.suppress(AttributeError, apsw.Error):  # the database may never have been opened
+        with contextlib.suppress(AttributeError, apsw.Error):  # AttributeError: the database was never opened
             super().close()
         if self._lock:
             self._lock.release()
--- a/shelfhaven/state/writer.py
+++ b/shelfhaven/state/writer.py
@@ -1,7 +1,7 @@
-"""The writer thread: the one thread that touches the key file.
+"""The writer thread, the only thread that accesses the key file.
 
-Owns the thread and the queue of calls. It must never keep the process alive: a thread that hangs in a sync is
-abandoned at the end.
+Owns the thread and its queue of calls. It is a daemon thread, so that a sync that hangs cannot keep the
+process from exiting.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class WriterThread:
-    """Executes calls one after another, in the order in which they came."""
+    """Executes calls in a separate thread, one at a time and in order."""
 
     def __init__(self) -> None:
         self._calls: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
@@ -27,17 +27,17 @@
     async def run(
         self, call: Callable[Arguments, Result], *args: Arguments.args, **kwargs: Arguments.kwargs
     ) -> Result:
-        """Have the thread execute a call; return or raise what the call does."""
+        """Execute a call in the thread; return its result, or raise its exception."""
         if self.thread is None:
-            self.thread = threading.Thread(target=self._work, name="keys", daemon=True)
+            self.thread = threading.Thread(target=self._execute_calls, name="keys", daemon=True)
             self.thread.start()
         future: Future[Result] = Future()
-        future.set_running_or_notify_cancel()  # a caller that is cancelled does not take its call back
+        future.set_running_or_notify_cancel()  # cancelling the awaiting task does not cancel the call
 
         def execute() -> None:
             try:
                 result = call(*args, **kwargs)
-            except BaseException as error:  # noqa: BLE001 - raised where the call is awaited
+            except BaseException as error:  # noqa: BLE001 - raised again where the call is awaited
                 future.set_exception(error)
             else:
                 future.set_result(result)
@@ -46,13 +46,13 @@
         return await asyncio.wrap_future(future)
 
     def submit(self, call: Callable[[], None]) -> None:
-        """Have the thread execute a call that nobody waits for and that raises nothing."""
+        """Queue a call without waiting for it; the call must not raise."""
         self._calls.put(call)
 
     def stop(self) -> None:
-        """End the thread once the calls that have been made are executed."""
+        """End the thread after it has executed the queued calls."""
         self._calls.put(None)
 
-    def _work(self) -> None:
+    def _execute_calls(self) -> None:
         while (call := self._calls.get()) is not None:
             call()
--- a/tests/state/key_files.py
+++ b/tests/state/key_files.py
@@ -1,4 +1,4 @@
-"""Records and key files for the tests of this package."""
+"""Helpers that create records and key files for the tests of this package."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from shelfhaven.state.store import Store
 
 LABEL = encode_label("topup", "one", "k")
-FAR_FUTURE = 1e9  # seconds on the boot's clock
-# for tests that are not about slow commits: on a busy machine one takes longer than requests wait by default
+FAR_FUTURE = 1e9  # expiry time that no test reaches
+# for tests that are not about slow commits: on a busy machine a commit can exceed the default `max_wait`
 PATIENT_DISK = DiskSettings(max_wait=10.0)
 
 
@@ -28,21 +28,21 @@
     return KeyRecord(key(number), run_state, boot, expires_at, LABEL, result)
 
 
-def opened(path: Path, now: float = 100.0, boot: str = "b1") -> Store:
-    """A store in which an incarnation has begun."""
+def open_store(path: Path, now: float = 100.0, boot: str = "b1") -> Store:
+    """Open a store and begin an incarnation in it."""
     store = Store(path, True)
     store.begin(now, boot, "topup 8 3")
     return store
 
 
 def expiries(store: Store, now: float) -> dict[bytes, float]:
-    """The keys that have not expired, with their expiry times."""
-    found = [expiry for page in store.pages(now) for expiry in page if expiry]
-    return {expiry.digest: expiry.expires_at for expiry in found}
+    """Return the expiry times of the keys that have not expired, by digest."""
+    intact = [expiry for page in store.pages(now) for expiry in page if expiry]
+    return {expiry.digest: expiry.expires_at for expiry in intact}
 
 
-def is_free(file: Path) -> bool:
-    """Whether no store has the file open."""
+def is_closed(file: Path) -> bool:
+    """Return whether no store has the file open; a damaged file counts as closed."""
     try:
         Store(file, True).close()
     except FileInUseError:
--- a/tests/state/test_actor.py
+++ b/tests/state/test_actor.py
@@ -1,4 +1,4 @@
-"""The end of a durable key store."""
+"""Tests of the shutdown of a durable key store."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 @played
-async def test_an_end_with_a_disk_that_hangs_keeps_nobody_waiting_and_keys_keep_their_expiry(
+async def test_shutdown_does_not_wait_for_a_hanging_disk_and_stored_keys_keep_their_expiry(
     tmp_path: Path,
 ) -> None:
-    first = await Node(tmp_path).up()
-    await first.run(1)
-    first.faults.gate.clear()
-    first.intend(2)
-    began = asyncio.get_running_loop().time()
-    await first.state.end()
-    assert asyncio.get_running_loop().time() - began < 0.5
-    first.faults.gate.set()
-    await soon(lambda: not (first.state.writer.thread and first.state.writer.thread.is_alive()))
-    assert first.state.store
-    first.state.store.close()  # as the end of the process does
-    second = await Node(tmp_path, class_summary="topup 1 3", uncertain_period=4.0).up()  # a shorter TTL
-    assert second.left(1) > 9.0, "a stored key keeps the expiry that it was given"
-    await second.state.end()
+    node = await Node(tmp_path).up()
+    await node.run(1)
+    node.faults.gate.clear()
+    node.intend(2)
+    started_at = asyncio.get_running_loop().time()
+    await node.state.end()
+    assert asyncio.get_running_loop().time() - started_at < 0.5
+    node.faults.gate.set()
+    await soon(lambda: not (node.state.writer.thread and node.state.writer.thread.is_alive()))
+    assert node.state.store
+    node.state.store.close()  # the operating system does this when a process ends
+    # the new incarnation has a TTL of 1 s instead of 8 s
+    restarted = await Node(tmp_path, class_summary="topup 1 3", uncertain_period=4.0).up()
+    assert restarted.left(1) > 9.0, "a stored key keeps its expiry time when the TTL is reduced"
+    await restarted.state.end()
--- a/tests/state/test_crash.py
+++ b/tests/state/test_crash.py
@@ -1,4 +1,4 @@
-"""The key file on a disk that loses power, or fails, at every single call."""
+"""Tests of the key file on a simulated disk that loses power or fails at each of its calls in turn."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 from shelfhaven.state.records import RunState
 
 
-def test_power_that_goes_at_any_call_loses_nothing_that_was_acknowledged() -> None:
-    found = search(7)
-    print(f"{found.points} disks after {found.calls} calls")
-    assert not found.breaches
-    assert found.points > 300
+def test_power_loss_at_any_call_loses_no_acknowledged_commit() -> None:
+    result = search(7)
+    print(f"{result.points} disk images checked after power loss at {result.calls} calls")
+    assert not result.breaches
+    assert result.points > 300
 
 
-def test_power_that_goes_again_while_it_comes_back_loses_nothing_either() -> None:
-    allowed = expected_states()
+def test_a_second_power_loss_during_recovery_loses_no_acknowledged_commit() -> None:
+    states = expected_states()
     random = Random(8)
-    for first in range(90, 120, 3):
+    for first_loss_at in range(90, 120, 3):
         disk = CrashDisk()
-        disk.power_loss_at = first
+        disk.power_loss_at = first_loss_at
         acknowledged = play_sequence()
         image = random.choice(disk.images_after_power_loss(random))
         disk.close()
-        for second in range(1, 12):
-            recovering = CrashDisk(dict(image))
-            recovering.power_loss_at = second
+        for second_loss_at in range(1, 12):
+            recovering_disk = CrashDisk(dict(image))
+            recovering_disk.power_loss_at = second_loss_at
             store = None
             try:
                 store = open_store()
@@ -49,35 +49,37 @@
             except apsw.Error:
                 pass
             abandon(store)
-            images = recovering.images_after_power_loss(random)
-            recovering.close()
+            images = recovering_disk.images_after_power_loss(random)
+            recovering_disk.close()
             for files in images:
                 found = read_independently(files) or {}
-                assert found in allowed[acknowledged : acknowledged + 2], (first, second)
+                assert found in states[acknowledged : acknowledged + 2], (first_loss_at, second_loss_at)
 
 
 @pytest.mark.parametrize("error", [apsw.FullError, apsw.IOError])
-def test_a_call_that_fails_fails_its_whole_commit_and_the_next_one_works(error: type[apsw.Error]) -> None:
+def test_a_failed_disk_call_fails_the_whole_commit_and_the_next_commit_succeeds(
+    error: type[apsw.Error],
+) -> None:
     disk = CrashDisk()
     store = open_store()
     store.begin(1.0, "b", "")
-    before = disk.calls
+    calls_before = disk.calls
     store.commit([put(1, RunState.INTENT), put(2, RunState.INTENT)], 1, 2.0)
-    calls_of_a_commit = disk.calls - before
-    assert calls_of_a_commit >= 2
-    kept = {key(1): (0, None), key(2): (0, None)}
-    for number in range(3, 3 + calls_of_a_commit + 2):
+    calls_per_commit = disk.calls - calls_before
+    assert calls_per_commit >= 2
+    expected = {key(1): (0, None), key(2): (0, None)}
+    for number in range(3, 3 + calls_per_commit + 2):
         disk.failing_calls = {disk.calls + number - 2: error}
         try:
             store.commit([put(number, RunState.INTENT), put(number + 100, RunState.INTENT)], 1, 3.0)
-            kept |= {key(number): (0, None), key(number + 100): (0, None)}
+            expected |= {key(number): (0, None), key(number + 100): (0, None)}
         except (apsw.FullError, apsw.IOError):
             pass
         disk.failing_calls = {}
         store.commit([put(number + 200, RunState.INTENT)], 1, 4.0)
-        kept[key(number + 200)] = (0, None)
+        expected[key(number + 200)] = (0, None)
         found = {expiry.digest for page in store.pages(5.0) for expiry in page if expiry}
-        assert found == kept.keys()
+        assert found == expected.keys()
     store.database.close()
-    assert read_independently(disk.images_after_power_loss(Random(1))[1]) == kept
+    assert read_independently(disk.images_after_power_loss(Random(1))[1]) == expected
     disk.close()
--- a/tests/state/test_disk_monitor.py
+++ b/tests/state/test_disk_monitor.py
@@ -1,4 +1,4 @@
-"""The disk's health as it is logged."""
+"""Tests of the classification of errors and of the logging of disk states."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
         (apsw.IOError("i/o"), DiskFault.FAILING),
     ],
 )
-def test_an_error_that_says_that_no_space_is_left_is_a_full_disk(error: Exception, fault: DiskFault) -> None:
+def test_errors_are_classified_as_a_full_or_a_failing_disk(error: Exception, fault: DiskFault) -> None:
     assert disk_fault(error) is fault
 
 
-def test_each_change_of_the_disks_state_is_logged_once(tmp_path: Path) -> None:
+def test_each_change_of_the_disk_state_is_logged_once(tmp_path: Path) -> None:
     descriptor = os.open(tmp_path / "log", os.O_WRONLY | os.O_CREAT)
     monitor = DiskMonitor(DiskSettings(), Log("test", descriptor))
     monitor.succeeded()
@@ -46,7 +46,7 @@
     lines = [orjson.loads(line) for line in (tmp_path / "log").read_bytes().splitlines()]
     assert {line["event"] for line in lines} == {"keys_disk"}
     assert [(line["standing"], line["error"]) for line in lines] == [
-        ("taken", f"{tmp_path / 'k'}: another process has it"),
+        ("taken", f"{tmp_path / 'k'}: locked by another process"),
         ("full", "full"),
         ("good", ""),
     ]
--- a/tests/state/test_file_lock.py
+++ b/tests/state/test_file_lock.py
@@ -1,4 +1,4 @@
-"""The lock beside the key file, and files that are set aside."""
+"""Tests of the lock on the key file and of the quarantine of damaged files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         with pytest.raises(FileInUseError) as raised:
             FileLock(path)
         assert raised.value.path == path
-        assert str(raised.value) == f"{path}: another process has it"
+        assert str(raised.value) == f"{path}: locked by another process"
         assert isinstance(raised.value, StoreError)
         lock.release()
         FileLock(path).release()
@@ -25,12 +25,12 @@
     assert (tmp_path / "k.owner").stat().st_mode & 0o777 == 0o600
 
 
-def test_a_database_is_quarantined_with_the_files_that_belong_to_it(tmp_path: Path) -> None:
+def test_a_database_is_quarantined_together_with_its_write_ahead_log(tmp_path: Path) -> None:
     path = tmp_path / "k"
     for name in ("k", "k-wal", "kept"):
         (tmp_path / name).write_text(name)
     assert not has_quarantined(path)
     assert quarantine_file(path, 7) == tmp_path / "k.aside-7"
     assert has_quarantined(path)
-    found = {one.name: one.read_text() for one in tmp_path.iterdir()}
-    assert found == {"k.aside-7": "k", "k.aside-7-wal": "k-wal", "kept": "kept"}
+    contents = {file.name: file.read_text() for file in tmp_path.iterdir()}
+    assert contents == {"k.aside-7": "k", "k.aside-7-wal": "k-wal", "kept": "kept"}
--- a/tests/state/test_fleet.py
+++ b/tests/state/test_fleet.py
@@ -1,4 +1,4 @@
-"""A node that records its keys in a file, as a process that is killed and starts anew."""
+"""Tests of nodes with a key file, run as processes that are killed and restarted."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from shelfhaven.lab.state_fleet import key_store_fleet
 from tests.fleets import played
 
-KEY_LIFETIME = 5.5  # seconds: the TTL and the deadline of the keyed class
-LONG_TTL = 'deadline="1500ms" window="60s"'  # of the keyed class, so that no key expires during a test
+KEY_LIFETIME = 5.5  # seconds: TTL plus deadline of the keyed class
+# settings of the keyed class with which no key expires during a test
+LONG_TTL = 'deadline="1500ms" window="60s"'
 
 
 @played
-async def test_a_result_outlives_its_process_and_a_duplicate_gets_it_by_either_protocol() -> None:
+async def test_a_duplicate_gets_the_stored_result_after_a_restart_by_either_protocol() -> None:
     async with key_store_fleet(with_routers=True) as nodes:
         await nodes.up()
         first = await nodes.served("k1")
@@ -34,37 +35,39 @@
         assert base64.b64decode(answer["result"]["body"]) == first
         await router.close()
         assert nodes.runs_of("k1") == 1
-        assert await nodes.served("k1", b"another amount") != first, "another request under the same key"
+        assert (
+            await nodes.served("k1", b"another amount") != first
+        ), "a key with another request body is another request"
 
 
 @played
-async def test_a_run_in_flight_when_the_process_died_never_runs_again_within_its_ttl() -> None:
+async def test_a_key_in_flight_when_the_process_is_killed_does_not_run_again_within_its_ttl() -> None:
     async with key_store_fleet() as nodes:
         await nodes.up()
         nodes.backend.release.clear()
         task = asyncio.ensure_future(nodes.topped_up("k1"))
         await soon(lambda: nodes.runs_of("k1"))
-        at = time.time()
+        killed_at = time.time()
         await nodes.restart()
         nodes.backend.release.set()
         assert await task is None
-        while time.time() - at < 3.5:
+        while time.time() - killed_at < 3.5:
             await nodes.failed("k1")
             await nodes.served(f"fresh{time.time()}")
             await asyncio.sleep(0.2)
         assert nodes.runs_of("k1") == 1
-        await asyncio.sleep(max(0.0, at + KEY_LIFETIME + 1.0 - time.time()))
-        await nodes.served("k1")  # its TTL is over
+        await asyncio.sleep(max(0.0, killed_at + KEY_LIFETIME + 1.0 - time.time()))
+        await nodes.served("k1")  # the key has expired and may run again
 
 
 @played
-async def test_a_run_that_never_began_is_free_after_a_start() -> None:
+async def test_a_key_whose_run_never_began_can_run_after_a_restart() -> None:
     async with key_store_fleet() as nodes:
         await nodes.up()
         nodes.backend.mode = StubMode.REJECT
-        refused = await nodes.topped_up("k1")
-        assert refused
-        assert refused.not_run
+        rejected = await nodes.topped_up("k1")
+        assert rejected
+        assert rejected.not_run
         nodes.backend.mode = StubMode.SERVE
         await asyncio.sleep(0.3)
         await nodes.restart()
@@ -73,7 +76,7 @@
 
 
 @played
-async def test_killed_again_and_again_under_load_no_key_runs_twice_and_what_was_answered_stays() -> None:
+async def test_no_key_runs_twice_and_answers_stay_the_same_when_the_node_is_killed_under_load() -> None:
     async with key_store_fleet() as nodes:
         random, answered = Random(5), dict[str, bytes]()
         keys = [f"k{number}" for number in range(1600)]
@@ -87,11 +90,11 @@
                     if reply and not reply.not_run:
                         break
                     await asyncio.sleep(0.02)
-                if answered and random.random() < 0.5:  # a duplicate, whatever came between
-                    old = random.choice(list(answered)[-20:])
-                    reply = await nodes.topped_up(old)
+                if answered and random.random() < 0.5:  # a duplicate, possibly after a restart
+                    answered_key = random.choice(list(answered)[-20:])
+                    reply = await nodes.topped_up(answered_key)
                     if reply and reply.status == 200:
-                        assert reply.body == answered[old]
+                        assert reply.body == answered[answered_key]
 
         await nodes.up()
         callers = [asyncio.ensure_future(caller(number)) for number in range(8)]
@@ -102,11 +105,11 @@
         assert not duplicate_runs(nodes.ran)
         assert len(answered) > 0.5 * len(
             keys
-        ), "the rest failed with a run in flight, or while the disk was slow"
+        ), "requests may fail only if in flight at a kill, or while the disk is slow"
 
 
 @played
-async def test_a_second_node_on_the_same_file_takes_no_keys_until_the_first_is_gone() -> None:
+async def test_a_second_node_with_the_same_file_serves_no_keyed_requests_until_the_first_ends() -> None:
     async with key_store_fleet(2) as nodes:
         first, second = nodes.fleet.nodes.values()
         await nodes.up(first)
@@ -116,7 +119,7 @@
         assert second.events("keys_disk")[0]["standing"] == "taken"
         assert not await second.healthy()
         await nodes.failed("k2", second)
-        assert (await second.ask("GET", "/balance/1")).status == 200, "what has no key is served"
+        assert (await second.ask("GET", "/balance/1")).status == 200, "requests without a key are served"
         await nodes.fleet.kill(first)
         await soon(lambda: second.events("keys_loaded"))
         await nodes.served("k1", node=second)
@@ -125,7 +128,7 @@
 
 
 @played
-async def test_a_start_restores_saved_estimates_and_commands_that_are_killed_harm_nothing() -> None:
+async def test_saved_estimates_are_restored_and_killed_commands_do_not_damage_the_file() -> None:
     async with key_store_fleet(topup=LONG_TTL) as nodes:
         await nodes.up()
         for number in range(60):
@@ -136,16 +139,16 @@
         assert learned["counts"] > 0.5
         await nodes.fleet.kill(nodes.node)
         random, file = Random(3), nodes.fleet.folder / "keys"
-        for words in (("compact",), ("snapshot", str(nodes.fleet.folder / "shot")), ("check",)) * 3:
-            tool = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "shelfhaven", "state", *words, "--operator", str(nodes.node.path),
+        for arguments in (("compact",), ("snapshot", str(nodes.fleet.folder / "snapshot")), ("check",)) * 3:
+            command = await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "shelfhaven", "state", *arguments, "--operator", str(nodes.node.path),
                 stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.DEVNULL,
             )  # fmt: skip
             await asyncio.sleep(random.uniform(0.1, 0.4))
             with contextlib.suppress(ProcessLookupError):
-                tool.kill()
-            await tool.wait()
-        for _ in range(4):  # and starts that are killed while they read
+                command.kill()
+            await command.wait()
+        for _ in range(4):  # kill the node while it reads the file
             await nodes.fleet.start(nodes.node)
             await asyncio.sleep(random.uniform(0.3, 0.5))
             await nodes.fleet.kill(nodes.node)
@@ -158,36 +161,38 @@
 
 
 @played
-async def test_the_command_line_shows_checks_and_copies_beside_a_running_node() -> None:
+async def test_commands_show_check_and_snapshot_work_beside_a_running_node() -> None:
     async with key_store_fleet(topup=LONG_TTL) as nodes:
         await nodes.up()
         for number in range(5):
             await nodes.topped_up(f"k{number}")
-        said, code = await nodes.node.command("state", "check")
-        assert (code, "5 keys" in said) == (0, True)
-        said, code = await nodes.node.command("state", "show")
-        assert (code, "5 served" in said, "k3" in said) == (0, True, True)
-        to = nodes.fleet.folder / "shot"
-        assert (await nodes.node.command("state", "snapshot", str(to))).exit_code == 0
-        assert (await nodes.node.command("state", "restore", str(to))).exit_code == 4, "a node has the file"
+        output, code = await nodes.node.command("state", "check")
+        assert (code, "5 keys" in output) == (0, True)
+        output, code = await nodes.node.command("state", "show")
+        assert (code, "5 served" in output, "k3" in output) == (0, True, True)
+        snapshot = nodes.fleet.folder / "snapshot"
+        assert (await nodes.node.command("state", "snapshot", str(snapshot))).exit_code == 0
+        assert (
+            await nodes.node.command("state", "restore", str(snapshot))
+        ).exit_code == 4, "the file is in use by the node"
         await nodes.fleet.kill(nodes.node)
-        output, exit_code = await nodes.node.command("state", "restore", str(to))
+        output, exit_code = await nodes.node.command("state", "restore", str(snapshot))
         assert (exit_code, "5 keys" in output) == (0, True)
         await nodes.up()
         assert nodes.node.events("keys_loaded")[-1]["unsure"] > 55.0
-        await nodes.failed("new")  # it may have run after the snapshot
+        await nodes.failed("new")  # could have run after the snapshot, so it is uncertain
         await nodes.served("k3")
 
 
 @played
-async def test_keys_are_certain_again_once_the_uncertain_period_after_a_restore_is_over() -> None:
+async def test_keys_are_uncertain_after_a_restore_until_the_uncertain_period_is_over() -> None:
     async with key_store_fleet() as nodes:
         await nodes.up()
         await nodes.served("k1")
-        to = nodes.fleet.folder / "shot"
-        assert (await nodes.node.command("state", "snapshot", str(to))).exit_code == 0
+        snapshot = nodes.fleet.folder / "snapshot"
+        assert (await nodes.node.command("state", "snapshot", str(snapshot))).exit_code == 0
         await nodes.fleet.kill(nodes.node)
-        assert (await nodes.node.command("state", "restore", str(to))).exit_code == 0
+        assert (await nodes.node.command("state", "restore", str(snapshot))).exit_code == 0
         await nodes.up()
         assert nodes.node.events("keys_loaded")[-1]["unsure"] > 5.0
         await nodes.failed("new")
--- a/tests/state/test_group_commit.py
+++ b/tests/state/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: which writes go together, and in which order."""
+"""Tests of group commit: batching and order of writes."""
 
 from __future__ import annotations
 
@@ -17,51 +17,51 @@
 
 
 @played
-async def test_all_that_waits_goes_in_one_commit(tmp_path: Path) -> None:
-    first = await Node(tmp_path, disk=DiskSettings(max_wait=2.0)).up()
-    first.faults.gate.clear()
+async def test_all_queued_writes_go_into_one_commit(tmp_path: Path) -> None:
+    node = await Node(tmp_path, disk=DiskSettings(max_wait=2.0)).up()
+    node.faults.gate.clear()
     for number in range(1, 102):
-        first.intend(number)
+        node.intend(number)
     await asyncio.sleep(0.02)
-    first.faults.gate.set()
-    await soon(lambda: len(first.messages) == 101)
-    assert first.state.counts["commits"] == 2
-    await first.state.end()
+    node.faults.gate.set()
+    await soon(lambda: len(node.messages) == 101)
+    assert node.state.counts["commits"] == 2
+    await node.state.end()
 
 
 @played
-async def test_a_keys_writes_stay_in_their_order_when_a_commit_fails(tmp_path: Path) -> None:
-    first = await Node(tmp_path, disk=DiskSettings(max_wait=5.0)).up()
-    first.intend(1)
-    await soon(lambda: first.messages)
-    first.faults.gate.clear()
-    first.state.discard_intent(key(1))  # on its way, and will fail
-    await soon(lambda: first.state.writes.is_committing)
-    first.intend(1)  # its next attempt, behind it
-    first.faults.error = apsw.IOError("i/o")
-    first.faults.gate.set()
-    await soon(lambda: first.state.disk.fault is DiskFault.FAILING)
-    first.faults.error = None
-    await soon(lambda: first.state.writes.is_idle, 10.0)
-    assert first.messages == [messages.IntentRecorded(1, True)] * 2
-    await first.state.end()
-    second = await Node(tmp_path).up()
-    assert second.left(1) > 0, "the deletion that came late is of the attempt before"
-    await second.state.end()
+async def test_the_writes_of_a_key_keep_their_order_when_a_commit_fails(tmp_path: Path) -> None:
+    node = await Node(tmp_path, disk=DiskSettings(max_wait=5.0)).up()
+    node.intend(1)
+    await soon(lambda: node.messages)
+    node.faults.gate.clear()
+    node.state.discard_intent(key(1))  # its commit is held up, then fails
+    await soon(lambda: node.state.writes.is_committing)
+    node.intend(1)  # the next attempt with the same key, queued behind the deletion
+    node.faults.error = apsw.IOError("i/o")
+    node.faults.gate.set()
+    await soon(lambda: node.state.disk.fault is DiskFault.FAILING)
+    node.faults.error = None
+    await soon(lambda: node.state.writes.is_idle, 10.0)
+    assert node.messages == [messages.IntentRecorded(1, True)] * 2
+    await node.state.end()
+    restarted = await Node(tmp_path).up()
+    assert restarted.left(1) > 0, "the retried deletion must not delete the later intent"
+    await restarted.state.end()
 
 
 @pytest.mark.parametrize("sync", [SyncMode.EVERY, SyncMode.NONE])
 @played
-async def test_without_a_sync_of_each_write_nobody_waits_and_all_is_written_soon(
+async def test_without_a_sync_of_each_write_requests_do_not_wait_for_the_commit(
     tmp_path: Path, sync: SyncMode
 ) -> None:
-    first = await Node(tmp_path, sync=sync).up()
-    first.faults.gate.clear()
-    first.intend(1)
-    assert first.messages == [messages.IntentRecorded(1, True)]
-    first.faults.gate.set()
-    await soon(lambda: first.state.writes.is_idle)
-    await first.state.end()
-    second = await Node(tmp_path).up()
-    assert second.left(1) > 0
-    await second.state.end()
+    node = await Node(tmp_path, sync=sync).up()
+    node.faults.gate.clear()
+    node.intend(1)
+    assert node.messages == [messages.IntentRecorded(1, True)]
+    node.faults.gate.set()
+    await soon(lambda: node.state.writes.is_idle)
+    await node.state.end()
+    restarted = await Node(tmp_path).up()
+    assert restarted.left(1) > 0
+    await restarted.state.end()
--- a/tests/state/test_previous_incarnation.py
+++ b/tests/state/test_previous_incarnation.py
@@ -1,4 +1,4 @@
-"""Keys that earlier incarnations of a node have run."""
+"""Tests of the table of keys that earlier incarnations of a node have run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from shelfhaven.state.previous_incarnation import PreviousIncarnation
 
 
-def test_previous_keys_are_known_until_they_expire_and_all_are_uncertain_until_they_are_read() -> None:
+def test_recorded_keys_are_found_until_they_expire_and_others_while_they_are_uncertain() -> None:
     previous = PreviousIncarnation()
     assert previous.uncertain_for(5.0) == float("inf")
     for number in range(0, 1000, 2):
@@ -18,7 +18,9 @@
     assert previous.remaining(50.0, key(5)) == previous.remaining(50.0, key(1001)) == 0.0
     assert previous.remaining(200.0, key(4)) == 0.0
     assert previous.find(10.0, key(4), 8.0) == PreviousKey(94.0, True)
-    assert previous.find(10.0, key(5), 8.0) == PreviousKey(8.0, False), "it ran before the start, if it did"
+    assert previous.find(10.0, key(5), 8.0) == PreviousKey(
+        8.0, False
+    ), "an uncertain key counts for its TTL at most"
     assert previous.find(31.0, key(5), 8.0) is None
     previous.forget_expired(1000.0)
     assert previous.remaining(1000.0, key(998)) == 98.0
--- a/tests/state/test_records.py
+++ b/tests/state/test_records.py
@@ -1,4 +1,4 @@
-"""The record of a key: its checksums and its label."""
+"""Tests of the checksums and the label of a record."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @given(st.binary(min_size=16, max_size=16), st.sampled_from(RunState), st.integers(0, 99), st.floats(0, 1e12),
        st.binary(max_size=40), st.none() | st.binary(max_size=40), st.integers(0, 200))  # fmt: skip
-def test_a_record_with_any_column_changed_fails_its_checksum(
+def test_a_change_of_any_column_is_detected_by_the_checksum(
     digest: bytes,
     run_state: RunState,
     boot: int,
@@ -32,6 +32,6 @@
     assert verified_result(b"another" + (result or b""), record.result_checksum) is None
 
 
-def test_a_label_that_cannot_be_read_is_shown_as_such() -> None:
+def test_a_damaged_label_is_decoded_as_question_marks() -> None:
     assert decode_label(LABEL) == ("topup", "one", "k")
     assert decode_label(b"\xff") == decode_label(b"[1]") == ("?", "?", "?")
--- a/tests/state/test_recovery.py
+++ b/tests/state/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a start finds of earlier incarnations."""
+"""Tests of what a node recovers from the key file at startup."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from shelfhaven.lab.state_node import Node, key
 from shelfhaven.server import messages
 from tests.fleets import played
-from tests.state.key_files import PATIENT_DISK, is_free
+from tests.state.key_files import PATIENT_DISK, is_closed
 
 
 @played
-async def test_uncertain_keys_are_known_after_the_next_start(tmp_path: Path) -> None:
+async def test_uncertain_keys_are_found_after_a_restart(tmp_path: Path) -> None:
     first = Node(tmp_path, disk=PATIENT_DISK)
     first.state.record_uncertain(messages.DurableKey(key(1), "topup", "one", "k1", 11.0))
     await first.up()
@@ -33,23 +33,21 @@
     await first.run(1)
     await first.state.end()
     file = tmp_path / "k"
-    await soon(lambda: is_free(file))
+    await soon(lambda: is_closed(file))
     file.write_bytes(b"not a database" * 100)
     second = await Node(tmp_path, disk=PATIENT_DISK).up()
     assert 10.0 < second.uncertain_for() <= 11.0
     assert len(list(tmp_path.glob("k.aside-*"))) == 1
     await second.run(2)
     await second.state.end()
-    await soon(lambda: is_free(file))
+    await soon(lambda: is_closed(file))
     third = await Node(tmp_path, disk=PATIENT_DISK).up()
-    assert third.uncertain_for() > 10.0, "a start before it is over begins it anew"
+    assert third.uncertain_for() > 10.0, "a restart within the uncertain period begins it again"
     await third.state.end()
-    await soon(lambda: is_free(file))
+    await soon(lambda: is_closed(file))
     for path in tmp_path.glob("k*"):
         if "aside" not in path.name:
             path.unlink()
     fourth = await Node(tmp_path, disk=PATIENT_DISK).up()
-    assert (
-        fourth.uncertain_for() > 10.0
-    ), "killed before the period was written: the damaged file beside tells"
+    assert fourth.uncertain_for() > 10.0, "a new file beside a quarantined one makes all keys uncertain"
     await fourth.state.end()
--- a/tests/state/test_saved_estimates.py
+++ b/tests/state/test_saved_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates that a node saves for its next incarnation."""
+"""Tests of the estimates that a node saves for its next incarnation."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from shelfhaven.state.saved_estimates import CallEstimates, ClassEstimates, PoolEstimates, SavedEstimates
 
 
-def test_estimates_count_by_their_age_and_not_at_all_out_of_range() -> None:
+def test_estimates_are_weighted_by_age_and_invalid_ones_are_rejected() -> None:
     weights = [round(saved_estimates.prior_weight(age), 3) for age in (0.0, 10.0, 40.0, 44.0)]
     assert weights == [1.0, 0.5, 0.062, 0.0]
     servers = {"s": BackendEstimate(4.0, 6.0, 8.0, 1.0)}
@@ -25,28 +25,33 @@
         CallEstimates(0.5, 0.1),
         {"p": PoolEstimates({"look": 0.02}, servers)},
     )
-    raw = saved_estimates.encode(saved)
-    assert saved_estimates.decode(raw) == saved
+    encoded = saved_estimates.encode(saved)
+    assert saved_estimates.decode(encoded) == saved
     assert saved_estimates.servers_after(saved.pools["p"], 3.0) == {"s": BackendEstimate(4.0, 6.0, 5.0, 4.0)}
-    for bad in (b"", b"{}", b"[{},[1],{}]", b'[{"a":[1,2]},[0,0],{}]', b'[{"a":[1,2,-1]},[0,0],{}]',
-                b'[{},[0,0],{"p":[1]}]', b'[{},[0,0],{"p":[{"a":true},{}]}]', raw[:-1]):  # fmt: skip
+    for invalid in (b"", b"{}", b"[{},[1],{}]", b'[{"a":[1,2]},[0,0],{}]', b'[{"a":[1,2,-1]},[0,0],{}]',
+                b'[{},[0,0],{"p":[1]}]', b'[{},[0,0],{"p":[{"a":true},{}]}]', encoded[:-1]):  # fmt: skip
         with pytest.raises(ValueError, match="."):
-            saved_estimates.decode(bad)
-    for_another = saved_estimates.for_controller(["new", "look"], saved)
-    assert for_another.run_means == (0.0, 0.1), "classes go by name"
-    assert (for_another.call_mean, for_another.call_deviation) == (0.5, 0.1)
-
-
-def test_a_controller_and_a_pool_take_estimates_as_a_prior() -> None:
-    first = Controller(Settings(2, 1000.0, (ClassSettings(1.0, 2.0), ClassSettings(1.0, 2.0))), 1)
-    cold = first.estimates()
-    first.restore_estimates(LearnedEstimates((0.05, 0.0), (0.0, 0.0), (0.0, 0.0), 0.4, 0.1), 0.5)
-    blended = ((cold.run_means[0] + 0.05) / 2, cold.run_means[1])
-    assert first.estimates().run_means == blended, "what is not known stays"
-    assert (first.estimates().call_mean, first.estimates().call_deviation) == (0.4, 0.1)
-    first.restore_estimates(LearnedEstimates((float("nan"), -1.0), (0.0,), (), 9.0, 0.0), 1.0)
-    assert (first.estimates().call_mean, first.estimates().call_deviation) == (0.4, 0.1), "its own stays"
-    assert first.estimates().run_means[1] == cold.run_means[1]
+            saved_estimates.decode(invalid)
+    restored = saved_estimates.for_controller(["new", "look"], saved)
+    assert restored.run_means == (0.0, 0.1), "classes are matched by name"
+    assert (restored.call_mean, restored.call_deviation) == (0.5, 0.1)
+
+
+def test_a_controller_and_a_pool_use_saved_estimates_as_a_prior() -> None:
+    controller = Controller(Settings(2, 1000.0, (ClassSettings(1.0, 2.0), ClassSettings(1.0, 2.0))), 1)
+    initial = controller.estimates()
+    controller.restore_estimates(LearnedEstimates((0.05, 0.0), (0.0, 0.0), (0.0, 0.0), 0.4, 0.1), 0.5)
+    blended = ((initial.run_means[0] + 0.05) / 2, initial.run_means[1])
+    assert (
+        controller.estimates().run_means == blended
+    ), "the estimate of a class without saved data does not change"
+    assert (controller.estimates().call_mean, controller.estimates().call_deviation) == (0.4, 0.1)
+    controller.restore_estimates(LearnedEstimates((float("nan"), -1.0), (0.0,), (), 9.0, 0.0), 1.0)
+    assert (controller.estimates().call_mean, controller.estimates().call_deviation) == (
+        0.4,
+        0.1,
+    ), "invalid estimates are ignored"
+    assert controller.estimates().run_means[1] == initial.run_means[1]
     pool = Pool(PoolSettings(), ["s"], 0.0, Random(1))
     pool.latencies.by_class["seen"] = 0.5
     pool.latencies.recall({"seen": 9.0, "new": 0.1, "none": 0.0})
--- a/tests/state/test_writer.py
+++ b/tests/state/test_writer.py
@@ -1,4 +1,4 @@
-"""The writer thread: order, results, errors."""
+"""Tests of the writer thread: order, results, errors."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @played
-async def test_calls_are_executed_in_their_order_in_one_other_thread() -> None:
+async def test_calls_are_executed_in_order_in_one_separate_thread() -> None:
     writer = WriterThread()
     executed: list[int] = []
     threads: set[int] = set()
@@ -30,11 +30,11 @@
     writer.submit(lambda: executed.append(20))
     writer.stop()
     await soon(lambda: writer.thread and not writer.thread.is_alive())
-    assert executed[-1] == 20, "calls that were made before the stop are executed"
+    assert executed[-1] == 20, "calls queued before `stop` are executed"
 
 
 @played
-async def test_an_error_is_raised_where_the_call_is_awaited_and_the_thread_goes_on() -> None:
+async def test_an_exception_is_raised_to_the_awaiting_task_and_the_thread_continues() -> None:
     writer = WriterThread()
 
     def fail(error: BaseException) -> None:
@@ -49,7 +49,7 @@
 
 
 @played
-async def test_a_caller_that_is_cancelled_does_not_disturb_the_thread() -> None:
+async def test_cancelling_an_awaiting_task_does_not_affect_the_thread() -> None:
     writer = WriterThread()
     gate = threading.Event()
     waiting = asyncio.ensure_future(writer.run(gate.wait, 10.0))
