--- a/shelfhaven/program/state.py
+++ b/shelfhaven/program/state.py
@@ -42,7 +42,7 @@
             for name, pool in self._pools_by_name().items()
         }
         estimates = self.core.controller.estimates()
-        classes = saved_estimates.classes_by_name(self.core.config.classes, estimates)
+        classes = saved_estimates.class_estimates_by_name(self.core.config.classes, estimates)
         call = CallEstimates(estimates.call_mean, estimates.call_deviation)
         return saved_estimates.encode(SavedEstimates(classes, call, pools))
 
@@ -56,11 +56,11 @@
             return
         servers = 0
         if weight:
-            estimates = saved_estimates.for_controller(self.core.config.classes, saved)
+            estimates = saved_estimates.to_learned_estimates(self.core.config.classes, saved)
             self.core.controller.restore_estimates(estimates, weight)
             for name, pool in self._pools_by_name().items():
                 known = saved.pools.get(name, PoolEstimates())
-                known_servers = saved_estimates.servers_after(known, age)
+                known_servers = saved_estimates.aged_server_estimates(known, age)
                 servers += warm_start.apply_estimates(time.monotonic(), pool, known_servers, weight)
                 pool.latencies.recall(known.usual_durations)
         self.log.event("learned", age=round(age, 1), counts=round(weight, 3), servers=servers)
--- a/shelfhaven/state/saved_estimates.py
+++ b/shelfhaven/state/saved_estimates.py
@@ -70,13 +70,13 @@
     return float(weight) if weight >= MIN_WEIGHT else 0.0
 
 
-def classes_by_name(names: Sequence[str], estimates: LearnedEstimates) -> dict[str, ClassEstimates]:
+def class_estimates_by_name(names: Sequence[str], estimates: LearnedEstimates) -> dict[str, ClassEstimates]:
     """Convert the controller's estimates, listed in the order of `names`, to estimates by class name."""
     means = zip(estimates.run_means, estimates.hint_means, estimates.hinted_run_means, strict=True)
     return dict(zip(names, map(ClassEstimates._make, means), strict=True))
 
 
-def for_controller(names: Sequence[str], saved: SavedEstimates) -> LearnedEstimates:
+def to_learned_estimates(names: Sequence[str], saved: SavedEstimates) -> LearnedEstimates:
     """Convert saved estimates for a controller whose classes are `names`.
 
     The classes may have changed since the estimates were saved; values of new classes are 0.
@@ -91,7 +91,7 @@
     )
 
 
-def servers_after(pool: PoolEstimates, age: float) -> dict[str, BackendEstimate]:
+def aged_server_estimates(pool: PoolEstimates, age: float) -> dict[str, BackendEstimate]:
     """Return the estimates of a pool's servers as they stand `age` seconds after they were saved."""
     return {
         name: BackendEstimate(
--- a/tests/state/test_saved_estimates.py
+++ b/tests/state/test_saved_estimates.py
@@ -27,12 +27,14 @@
     )
     encoded = saved_estimates.encode(saved)
     assert saved_estimates.decode(encoded) == saved
-    assert saved_estimates.servers_after(saved.pools["p"], 3.0) == {"s": BackendEstimate(4.0, 6.0, 5.0, 4.0)}
+    assert saved_estimates.aged_server_estimates(saved.pools["p"], 3.0) == {
+        "s": BackendEstimate(4.0, 6.0, 5.0, 4.0)
+    }
     for invalid in (b"", b"{}", b"[{},[1],{}]", b'[{"a":[1,2]},[0,0],{}]', b'[{"a":[1,2,-1]},[0,0],{}]',
                 b'[{},[0,0],{"p":[1]}]', b'[{},[0,0],{"p":[{"a":true},{}]}]', encoded[:-1]):  # fmt: skip
         with pytest.raises(ValueError, match="."):
             saved_estimates.decode(invalid)
-    restored = saved_estimates.for_controller(["new", "look"], saved)
+    restored = saved_estimates.to_learned_estimates(["new", "look"], saved)
     assert restored.run_means == (0.0, 0.1), "classes are matched by name"
     assert (restored.call_mean, restored.call_deviation) == (0.5, 0.1)
 
