--- a/shelfhaven/consensus/codec.py
+++ b/shelfhaven/consensus/codec.py
@@ -1,7 +1,8 @@
-"""JSON form of commands, results and snapshots, as members of a Raft group store and exchange them.
+"""JSON encoding of commands, results and snapshots, which Raft members store and nodes exchange.
 
-Words and keys are part of the format of journals and of requests between nodes of different versions.
-`decode_*` functions raise ValueError (`decode_entry` also TypeError) for anything that is malformed.
+The object keys and the values of `do` are a stable format: journals contain them, and nodes that run
+different versions exchange them. The `decode_*` functions raise ValueError for malformed input;
+`decode_entry` may also raise TypeError.
 """
 
 from __future__ import annotations
@@ -19,17 +20,17 @@
 from shelfhaven.consensus.state_machine import Document
 from shelfhaven.consensus.store import CompareAndSet, Entries, Entry, Put, Snapshot
 
-JsonValue: TypeAlias = Any  # a decoded JSON value whose shape is not known yet
+JsonValue: TypeAlias = Any  # a decoded JSON value, not validated yet
 JsonObject: TypeAlias = dict[str, JsonValue]
 
 
 def encode_entry(entry: Entry | None) -> JsonValue:
-    """Return an entry as a JSON array, None as null."""
+    """Return an entry as a JSON array, or None for a key without an entry."""
     return None if entry is None else [entry.value.decode(), entry.revision, entry.lease]
 
 
 def decode_entry(raw: JsonValue) -> Entry:
-    """Return an entry from its JSON array."""
+    """Parse an entry from its JSON array."""
     value, revision, lease = raw
     return Entry(str(value).encode(), int(revision), int(lease))
 
@@ -64,17 +65,17 @@
 
 
 def decode_command(raw: JsonValue) -> Command:
-    """Return a command from its JSON object."""
+    """Parse a command from its JSON object."""
     try:
-        return _command_from(raw)
+        return _parse_command(raw)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no step: {error!r}") from None
+        raise ValueError(f"invalid command: {error!r}") from None
 
 
-def _command_from(raw: JsonValue) -> Command:
+def _parse_command(raw: JsonValue) -> Command:
     match raw["do"]:
         case "change":
-            return _compare_and_set_from(raw)
+            return _parse_compare_and_set(raw)
         case "grant":
             return GrantLease(float(raw["seconds"]), int(raw["lease"]))
         case "beat":
@@ -84,10 +85,10 @@
         case "expire":
             return ExpireLease(int(raw["lease"]), int(raw["beat"]))
         case _:
-            raise ValueError("no step that is known")
+            raise ValueError("invalid command: unknown operation")
 
 
-def _compare_and_set_from(raw: JsonValue) -> CompareAndSet:
+def _parse_compare_and_set(raw: JsonValue) -> CompareAndSet:
     puts = {str(key): Put(str(value).encode(), int(lease)) for key, (value, lease) in raw["put"].items()}
     compare = {str(key): int(revision) for key, revision in raw["compare"].items()}
     return CompareAndSet(compare, puts, tuple(str(key) for key in raw["delete"]))
@@ -105,42 +106,45 @@
 
 
 def decode_result(raw: JsonValue) -> CommandResult:
-    """Return the result of a command from its JSON object."""
+    """Parse the result of a command from its JSON object."""
     try:
         current = _decode_entries(raw["found"])
         return CommandResult(
             raw["done"] is True, int(raw["revision"]), int(raw["lease"]), float(raw["seconds"]), current
         )
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no answer: {error!r}") from None
+        raise ValueError(f"invalid result: {error!r}") from None
 
 
 def encode_snapshot(snapshot: Snapshot) -> JsonObject:
-    """Return entries at a revision as a JSON object."""
+    """Return a snapshot as a JSON object."""
     return {"revision": snapshot.revision, "items": _encode_entries(snapshot.items)}
 
 
 def decode_snapshot(raw: JsonValue) -> Snapshot:
-    """Return entries at a revision from their JSON object."""
+    """Parse a snapshot from its JSON object."""
     try:
         items = _decode_entries(raw["items"])
         return Snapshot(int(raw["revision"]), items)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no items: {error!r}") from None
+        raise ValueError(f"invalid snapshot: {error!r}") from None
 
 
 def encode_read_request(keys: list[str]) -> JsonObject:
-    """Return a request for the entries of these keys."""
+    """Return the JSON object of a request for the entries of these keys."""
     return {"do": "read", "keys": keys}
 
 
 def encode_list_request(prefix: str) -> JsonObject:
-    """Return a request for all entries whose keys start with a prefix."""
+    """Return the JSON object of a request for all entries whose keys start with a prefix."""
     return {"do": "listed", "prefix": prefix}
 
 
 def apply_request(document: Document, raw: JsonValue) -> JsonObject:
-    """Apply a command or answer a query that another node sent as JSON; return the JSON of the answer."""
+    """Apply a JSON-encoded command or query to the document; return the JSON-encoded result.
+
+    Raises ValueError for a malformed request.
+    """
     try:
         match raw["do"]:
             case "read":
@@ -150,4 +154,4 @@
             case _:
                 return encode_result(document.apply(decode_command(raw)))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"no request: {error!r}") from None
+        raise ValueError(f"invalid request: {error!r}") from None
--- a/shelfhaven/consensus/commands.py
+++ b/shelfhaven/consensus/commands.py
@@ -1,6 +1,7 @@
-"""Commands that change the replicated document, and their result.
+"""Commands that change the replicated document, and their results.
 
-Beside `CompareAndSet` of the store's interface there is one command for each step of a lease's life.
+The commands are `CompareAndSet`, which the store's interface defines, and four that create, renew and end
+leases.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Create a lease under an id that the caller has drawn at random.
+    """Create a lease with an id that the client has chosen at random.
 
-    The id must be one that no store has ever given out: otherwise a holder could keep alive, in a new store,
-    somebody else's lease that happens to have the id of its own in the old one.
+    Ids must be unique across stores, not only within one: after a store is replaced by an empty one, a client
+    that still renews its lease of the old store would otherwise keep another client's lease alive.
     """
 
     ttl: float  # seconds
@@ -35,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """End a lease."""
+    """End a lease and delete the entries bound to it."""
 
     lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ExpireLease:
-    """End a lease, provided that it has not been kept alive since this number of renewals."""
+    """End a lease unless it has been renewed since its number of renewals was `renewals`."""
 
     lease_id: int
     renewals: int
@@ -53,15 +54,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The result of a command: the document's revision, the lease concerned, and conflicting entries."""
+    """The result of a command.
+
+    `current` holds the entries of the compared keys if a `CompareAndSet` was not applied.
+    """
 
     applied: bool
-    revision: int
-    lease_id: int = 0
-    ttl: float = 0.0  # seconds
+    revision: int  # of the document
+    lease_id: int = 0  # of the lease that the command refers to
+    ttl: float = 0.0  # seconds; set by a successful grant or renewal
     current: Entries = field(default_factory=dict)
 
 
 def grant_new_lease(ttl: float) -> GrantLease:
-    """Return a command that creates a lease under a fresh random id."""
+    """Return a command that creates a lease with a new random id."""
     return GrantLease(ttl, secrets.randbits(LEASE_ID_BITS) or 1)
--- a/shelfhaven/consensus/etcd_store.py
+++ b/shelfhaven/consensus/etcd_store.py
@@ -1,9 +1,11 @@
-"""A consensus store in an etcd cluster: transactions that compare revisions, etcd's leases and watches.
+"""A consensus store in an etcd cluster, built on its transactions, leases and watches.
 
-This module owns open calls and the translation between etcd's messages and the store's interface. It never
-repeats a change: one whose answer was lost ends with `OutcomeUnknownError`, and the caller has to read.
+This module makes the calls to etcd and translates between etcd's messages and the store's interface. It
+never repeats a change: if the response is lost, it raises `OutcomeUnknownError`, and the client has to read
+the keys.
 
-Imported only where the operator's file names such a cluster: gRPC takes some 14 MB.
+The module is imported only if the operator configuration names an etcd cluster: gRPC needs about 14 MB of
+memory.
 """
 
 from __future__ import annotations
@@ -44,10 +46,10 @@
 from shelfhaven.protocol.pb import etcd_pb2
 from shelfhaven.server.log import Log
 
-PROGRESS_INTERVAL = 2.0  # seconds between two progress requests of a watch
+PROGRESS_INTERVAL = 2.0  # seconds between the progress requests of a watch
 MAX_LISTED_ENTRIES = 4096
-MAX_ERROR_LENGTH = 200  # characters of a gRPC error's text
-# Status codes of calls that certainly had no effect.
+MAX_ERROR_LENGTH = 200  # characters of an error message
+# gRPC status codes of calls that certainly had no effect.
 NOT_APPLIED_CODES = (
     grpc.StatusCode.RESOURCE_EXHAUSTED,
     grpc.StatusCode.FAILED_PRECONDITION,
@@ -67,39 +69,39 @@
 
 
 class EtcdStore:
-    """One node's access to the cluster; all keys are stored under a prefix."""
+    """A `ConsensusStore` in an etcd cluster, which stores all keys under a prefix."""
 
     def __init__(self, endpoints: Sequence[str], prefix: str, timeout: float, log: Log) -> None:
         self.prefix = prefix.encode()
         self.timeout = timeout  # seconds
-        self.link = EtcdChannel(endpoints, log, "agreement", anew=True)
-        self.cluster_id: int | None = None  # of the last answer; another one is another store
+        self.etcd_channel = EtcdChannel(endpoints, log, "agreement", anew=True)
+        self.cluster_id: int | None = None  # of the last response; a different one means another store
 
-    def move(self, endpoints: Sequence[str]) -> None:
-        """Use other endpoints from now on."""
-        self.link.move(endpoints)
+    def set_endpoints(self, endpoints: Sequence[str]) -> None:
+        """Replace the endpoints; the current channel is closed."""
+        self.etcd_channel.move(endpoints)
         self.cluster_id = None
 
     async def _within_timeout(self, call: Awaitable[Result]) -> Result:
-        """Await a call for a limited time; raise the store's errors for one that fails."""
+        """Await a call within the timeout; raise a `ConsensusError` if it fails."""
         try:
             with closed_channel_as_error():
                 async with asyncio.timeout(self.timeout):
                     return await call
         except CALL_ERRORS as error:
-            self.link.report_failure(error)
+            self.etcd_channel.report_failure(error)
             not_applied = status_code_of(error) in NOT_APPLIED_CODES
             error_type = NotAppliedError if not_applied else OutcomeUnknownError
-            raise error_type(_describe(error), retry_after_of(error)) from None
+            raise error_type(_error_message(error), retry_after_of(error)) from None
 
     def _check_cluster(self, header: etcd_pb2.ResponseHeader) -> None:
-        """Raise OutcomeUnknownError for an answer of another cluster than before.
+        """Raise OutcomeUnknownError if the response comes from a different cluster than the previous one.
 
-        A cluster that replaced the one before has none of its entries, but may have applied the request.
+        A new cluster has none of the entries of the previous one, but may have applied the request.
         """
         if self.cluster_id and header.cluster_id != self.cluster_id:
             self.cluster_id = header.cluster_id
-            raise OutcomeUnknownError("another store answers")
+            raise OutcomeUnknownError("the response comes from a different etcd cluster")
         self.cluster_id = header.cluster_id
 
     def _key(self, key: str) -> bytes:
@@ -107,52 +109,54 @@
 
     # Leases
 
-    async def grant_lease(self, seconds: float) -> GrantedLease:
-        """Create a lease; etcd counts in whole seconds."""
-        request = etcd_pb2.LeaseGrantRequest(TTL=max(1, round(seconds)))
-        response = await self._within_timeout(self.link.call(GRANT, request, etcd_pb2.LeaseGrantResponse))
+    async def grant_lease(self, ttl: float) -> GrantedLease:
+        """Create a lease with a TTL in seconds, rounded to whole seconds for etcd."""
+        request = etcd_pb2.LeaseGrantRequest(TTL=max(1, round(ttl)))
+        response = await self._within_timeout(
+            self.etcd_channel.call(GRANT, request, etcd_pb2.LeaseGrantResponse)
+        )
         if response.error:
             raise NotAppliedError(response.error)
         self._check_cluster(response.header)
         return GrantedLease(response.ID, float(response.TTL))
 
-    async def keep_alive(self, lease: int) -> float | None:
-        """Renew a lease; return its TTL, None if it has ended."""
-        return await self._within_timeout(self._keep_alive_once(lease))
+    async def keep_alive(self, lease_id: int) -> float | None:
+        """Renew a lease; return its TTL in seconds, or None if it has ended."""
+        return await self._within_timeout(self._keep_alive_once(lease_id))
 
-    async def _keep_alive_once(self, lease: int) -> float | None:
-        stream: KeepAliveStream = self.link.stream(
+    async def _keep_alive_once(self, lease_id: int) -> float | None:
+        stream: KeepAliveStream = self.etcd_channel.stream(
             KEEP_ALIVE, etcd_pb2.LeaseKeepAliveRequest, etcd_pb2.LeaseKeepAliveResponse
         )
         try:
-            await stream.write(etcd_pb2.LeaseKeepAliveRequest(ID=lease))
+            await stream.write(etcd_pb2.LeaseKeepAliveRequest(ID=lease_id))
             response = await stream.read()
             if not isinstance(response, etcd_pb2.LeaseKeepAliveResponse):
-                raise ValueError("a keep-alive without an answer")
+                raise ValueError("the keep-alive stream ended without a response")
             return float(response.TTL) if response.TTL > 0 else None
         finally:
             stream.cancel()
 
-    async def revoke_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease_id: int) -> None:
         """End a lease and delete the entries that are bound to it."""
-        request = etcd_pb2.LeaseRevokeRequest(ID=lease)
-        with contextlib.suppress(NotAppliedError):  # the lease has ended already
-            await self._within_timeout(self.link.call(REVOKE, request, etcd_pb2.LeaseRevokeResponse))
+        request = etcd_pb2.LeaseRevokeRequest(ID=lease_id)
+        with contextlib.suppress(NotAppliedError):  # the lease has already ended
+            await self._within_timeout(self.etcd_channel.call(REVOKE, request, etcd_pb2.LeaseRevokeResponse))
 
     # Entries
 
     async def compare_and_set(self, change: CompareAndSet) -> CompareAndSetResult:
         """Apply a conditional change."""
         request = self._transaction(change)
-        response = await self._within_timeout(self.link.call(TXN, request, etcd_pb2.TxnResponse))
+        response = await self._within_timeout(self.etcd_channel.call(TXN, request, etcd_pb2.TxnResponse))
         self._check_cluster(response.header)
         if response.succeeded:
             return CompareAndSetResult(True, response.header.revision)
-        current = _entries_of(list(change.compare), response.responses)
+        current = _to_entries(list(change.compare), response.responses)
         return CompareAndSetResult(False, response.header.revision, current)
 
     def _transaction(self, change: CompareAndSet) -> etcd_pb2.TxnRequest:
-        """Return the transaction of a change; it reads the compared keys if a comparison fails."""
+        """Return the transaction for a change; it reads the compared keys if a comparison fails."""
         request = etcd_pb2.TxnRequest()
         for key, revision in change.compare.items():
             request.compare.add(
@@ -170,56 +174,58 @@
         return request
 
     async def read(self, keys: Sequence[str]) -> Snapshot:
-        """Return the current entries of these keys, in one transaction that the quorum confirms."""
+        """Return the current entries of these keys, read in one linearizable transaction."""
         request = etcd_pb2.TxnRequest()
         for key in keys:
             request.success.add(request_range=etcd_pb2.RangeRequest(key=self._key(key)))
-        response = await self._within_timeout(self.link.call(TXN, request, etcd_pb2.TxnResponse))
-        self.cluster_id = response.header.cluster_id  # a read accepts a new store
+        response = await self._within_timeout(self.etcd_channel.call(TXN, request, etcd_pb2.TxnResponse))
+        self.cluster_id = response.header.cluster_id  # a read accepts a different cluster
         if len(response.responses) != len(keys):
-            raise OutcomeUnknownError("an answer with less than was asked for")
-        return Snapshot(response.header.revision, _entries_of(keys, response.responses))
+            raise OutcomeUnknownError("the number of responses differs from the number of keys")
+        return Snapshot(response.header.revision, _to_entries(keys, response.responses))
 
     async def list_prefix(self, prefix: str) -> Snapshot:
         """Return all entries whose keys start with the prefix."""
         start = self._key(prefix)
         request = etcd_pb2.RangeRequest(key=start, range_end=range_end(start), limit=MAX_LISTED_ENTRIES)
-        response = await self._within_timeout(self.link.call(RANGE, request, etcd_pb2.RangeResponse))
+        response = await self._within_timeout(self.etcd_channel.call(RANGE, request, etcd_pb2.RangeResponse))
         self.cluster_id = response.header.cluster_id
         prefix_length = len(self.prefix)
-        items = {kv.key[prefix_length:].decode(): _entry_of(kv) for kv in response.kvs}
+        items = {kv.key[prefix_length:].decode(): _to_entry(kv) for kv in response.kvs}
         return Snapshot(response.header.revision, items)
 
-    async def watch(self, keys: Sequence[str], after: int) -> AsyncIterator[Snapshot]:
-        """Yield changes of these keys after a revision, by one stream with a watch for each key.
+    async def watch(self, keys: Sequence[str], after_revision: int) -> AsyncIterator[Snapshot]:
+        """Yield the changes of these keys after a revision, from one stream with a watch for each key.
 
-        Regular progress requests make sure that a dead stream is noticed.
+        Regular progress requests make it possible to detect a dead stream.
         """
-        stream: WatchStream = self.link.stream(WATCH, etcd_pb2.WatchRequest, etcd_pb2.WatchResponse)
-        watched = {self._key(key): key for key in keys}
+        stream: WatchStream = self.etcd_channel.stream(WATCH, etcd_pb2.WatchRequest, etcd_pb2.WatchResponse)
+        keys_by_etcd_key = {self._key(key): key for key in keys}
         progress_task: asyncio.Task[None] | None = None
         try:
-            await self._create_watches(stream, list(watched), after)
+            await self._create_watches(stream, list(keys_by_etcd_key), after_revision)
             progress_task = asyncio.ensure_future(_request_progress(stream))
             while True:
                 response = await self._next_watch_response(stream)
                 if response.events:
-                    yield _changes_of(watched, response)
+                    yield _to_snapshot(keys_by_etcd_key, response)
         except ConsensusError:
             raise
         except CALL_ERRORS as error:
-            self.link.report_failure(error)
-            raise NotAppliedError(_describe(error), retry_after_of(error)) from None
+            self.etcd_channel.report_failure(error)
+            raise NotAppliedError(_error_message(error), retry_after_of(error)) from None
         finally:
             if progress_task:
                 progress_task.cancel()
             stream.cancel()
 
-    async def _create_watches(self, stream: WatchStream, keys: Sequence[bytes], after: int) -> None:
+    async def _create_watches(self, stream: WatchStream, keys: Sequence[bytes], after_revision: int) -> None:
         with closed_channel_as_error():
             async with asyncio.timeout(self.timeout):
                 for watch_id, key in enumerate(keys, start=1):
-                    create = etcd_pb2.WatchCreateRequest(key=key, start_revision=after + 1, watch_id=watch_id)
+                    create = etcd_pb2.WatchCreateRequest(
+                        key=key, start_revision=after_revision + 1, watch_id=watch_id
+                    )
                     await stream.write(etcd_pb2.WatchRequest(create_request=create))
 
     async def _next_watch_response(self, stream: WatchStream) -> etcd_pb2.WatchResponse:
@@ -227,42 +233,42 @@
             async with asyncio.timeout(PROGRESS_INTERVAL + self.timeout):
                 response = await stream.read()
         if not isinstance(response, etcd_pb2.WatchResponse):
-            raise ValueError("the watch was ended")
+            raise ValueError("the watch stream ended")
         if response.canceled:
-            raise CompactedError(response.cancel_reason or "the watch was cancelled")
+            raise CompactedError(response.cancel_reason or "etcd cancelled the watch")
         self._check_cluster(response.header)
         return response
 
     async def close(self) -> None:
-        """Close the connection."""
-        await self.link.end()
+        """Close the channel to etcd."""
+        await self.etcd_channel.end()
 
 
-def _describe(error: Exception) -> str:
+def _error_message(error: Exception) -> str:
     return f"{type(error).__name__}: {error}"[:MAX_ERROR_LENGTH]
 
 
-def _entry_of(kv: etcd_pb2.KeyValue) -> Entry:
+def _to_entry(kv: etcd_pb2.KeyValue) -> Entry:
     return Entry(kv.value, kv.mod_revision, kv.lease)
 
 
-def _entries_of(keys: Sequence[str], responses: Sequence[etcd_pb2.ResponseOp]) -> Entries:
-    """Return the entries that a transaction read, one response for each key."""
+def _to_entries(keys: Sequence[str], responses: Sequence[etcd_pb2.ResponseOp]) -> Entries:
+    """Return the entries that a transaction has read; there is one response for each key."""
     entries: dict[str, Entry | None] = {}
     for key, response in zip(keys, responses, strict=False):
         kvs = response.response_range.kvs
-        entries[key] = _entry_of(kvs[0]) if kvs else None
+        entries[key] = _to_entry(kvs[0]) if kvs else None
     return entries
 
 
-def _changes_of(watched: Mapping[bytes, str], response: etcd_pb2.WatchResponse) -> Snapshot:
+def _to_snapshot(keys_by_etcd_key: Mapping[bytes, str], response: etcd_pb2.WatchResponse) -> Snapshot:
     items: dict[str, Entry | None] = {}
     for event in response.events:
-        key = watched.get(event.kv.key)
+        key = keys_by_etcd_key.get(event.kv.key)
         if key is None:
             continue
         deleted = event.type == etcd_pb2.Event.DELETE
-        items[key] = None if deleted else _entry_of(event.kv)
+        items[key] = None if deleted else _to_entry(event.kv)
     return Snapshot(max(event.kv.mod_revision for event in response.events), items)
 
 
--- a/shelfhaven/consensus/lease_expiry.py
+++ b/shelfhaven/consensus/lease_expiry.py
@@ -1,8 +1,8 @@
-"""Detection of expired leases by one observer's own clock.
+"""Detection of expired leases with the clock of one observer.
 
-A lease's TTL counts from when its last renewal was first *observed* here, which is later than when its
-holder sent the request. A new observer therefore waits for the full TTL: a change of observers only prolongs
-leases.
+The TTL of a lease counts from the moment when the observer first *saw* its last renewal, which is later
+than the moment when the holder sent it. A new observer waits for the full TTL, so that a change of the
+observer can prolong a lease but never shorten it.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from shelfhaven.consensus.commands import ExpireLease
 from shelfhaven.consensus.state_machine import Lease
 
-CLOCK_RATE_MARGIN = 1.1  # times the TTL without a renewal: clocks differ in rate
+CLOCK_RATE_MARGIN = 1.1  # a lease expires after this multiple of its TTL, as clocks differ in rate
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """A lease's number of renewals, and since when this observer has seen it unchanged."""
+    """The number of renewals of a lease, and when the observer first saw that number."""
 
     renewals: int
-    since: float
+    first_seen: float
 
 
 class LeaseExpiryObserver:
-    """Determines which leases have not been kept alive for longer than their TTL."""
+    """Finds the leases that have not been renewed within their TTL."""
 
     def __init__(self) -> None:
         self.observations: dict[int, Observation] = {}  # by lease id
 
     def observe(self, now: float, leases: Mapping[int, Lease]) -> list[ExpireLease]:
-        """Take note of all leases; return the commands that end those that have expired."""
+        """Record the renewals of all leases; return commands that end the expired ones."""
         for lease_id in list(self.observations):
             if lease_id not in leases:
                 del self.observations[lease_id]
@@ -40,6 +40,6 @@
             observation = self.observations.get(lease_id)
             if observation is None or observation.renewals != lease.beat:
                 self.observations[lease_id] = Observation(lease.beat, now)
-            elif now - observation.since >= lease.seconds * CLOCK_RATE_MARGIN:
+            elif now - observation.first_seen >= lease.seconds * CLOCK_RATE_MARGIN:
                 expired.append(ExpireLease(lease_id, lease.beat))
         return expired
--- a/shelfhaven/consensus/peer_client.py
+++ b/shelfhaven/consensus/peer_client.py
@@ -1,7 +1,7 @@
-"""A consensus store kept by three or five of the nodes; the other nodes send their requests to a member.
+"""A consensus store that three or five of the nodes replicate; other nodes send their requests to a member.
 
-This module owns the choice of the member and the exchange with it. A change that one member may have applied
-is never sent to a second one: the caller gets `OutcomeUnknownError`.
+This module chooses the member and exchanges requests and answers with it. A change that a member may have
+applied is never sent to another member; instead, `OutcomeUnknownError` is raised.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
 if TYPE_CHECKING:
     from shelfhaven.consensus.raft_replica import RaftReplica
 
-PATH = "/agree"
-WATCH_POLL_TIMEOUT = 1.0  # seconds for which a member holds a watch request without changes
+REQUEST_PATH = "/agree"
+WATCH_POLL_TIMEOUT = 1.0  # seconds that a member waits for a change before it answers a watch request
 MAX_WATCHED_KEYS = 4096
-# Keys of an answer that stands for an error.
+# The key of an error answer, and the exception that it stands for.
 ERROR_TYPES: Mapping[str, type[ConsensusError]] = {
     "refused": NotAppliedError,
     "unclear": OutcomeUnknownError,
@@ -52,7 +52,7 @@
 
 
 class PeerStoreClient:
-    """One node's access to the members; `replica` is the node's own member if it is one."""
+    """A `ConsensusStore` on a Raft group; `replica` is the node's own replica if the node is a member."""
 
     def __init__(
         self,
@@ -68,46 +68,48 @@
         self.peer_rpc = peer_rpc
         self.timeout = timeout  # seconds
         self.replica = replica
-        # each member is asked first by a fraction of the nodes
+        # Nodes start with different members, which spreads the load.
         self.member_index = int(spread(node, "agree") * len(self.member_addresses))
-        self.requests = 0
+        self.request_count = 0
         if replica:
-            peer_rpc.routes[PATH] = self.answer
+            peer_rpc.routes[REQUEST_PATH] = self.handle_request
 
-    # Requests of other nodes, which this member answers
+    # Requests from other nodes
 
-    async def answer(self, body: bytes) -> bytes:
-        """Answer another node's request."""
+    async def handle_request(self, body: bytes) -> bytes:
+        """Handle a request from another node and return the answer."""
         assert self.replica
         try:
             request = orjson.loads(body)
             if not isinstance(request, dict):
-                raise ValueError("no object")
-            return orjson.dumps(await self._answer_here(self.replica, request))
+                raise ValueError("the request is not a JSON object")
+            return orjson.dumps(await self._execute_on_replica(self.replica, request))
         except (ValueError, KeyError, TypeError, NotAppliedError) as error:
             return orjson.dumps({"refused": str(error)})
         except OutcomeUnknownError as error:
             return orjson.dumps({"unclear": str(error)})
 
-    async def _answer_here(self, replica: RaftReplica, request: JsonObject) -> JsonObject:
+    async def _execute_on_replica(self, replica: RaftReplica, request: JsonObject) -> JsonObject:
         if request["do"] == "since":
             keys = [str(key) for key in request["keys"]][:MAX_WATCHED_KEYS]
             return await replica.wait_for_changes(keys, int(request["after"]), WATCH_POLL_TIMEOUT)
         if request["do"] == "expire":
-            raise ValueError("leases are ended by the leader alone, who has watched them")
+            raise ValueError("leases are expired only by the leader, which observes their renewals")
         return await replica.submit(request, self.timeout)
 
-    # Requests of this node
+    # Requests from this node
 
     async def _request(self, request: JsonObject, extra_timeout: float = 0.0) -> JsonObject:
-        """Return the answer of the node's own member, or of the member whose turn it is."""
-        self.requests += 1
+        """Send a request to the node's own replica, or else to the chosen member; return the answer."""
+        self.request_count += 1
         if self.replica:
-            return await self._answer_here(self.replica, request)
+            return await self._execute_on_replica(self.replica, request)
         peer = self.member_addresses[self.member_index % len(self.member_addresses)]
         timeout = self.timeout + extra_timeout
         try:
-            body = await self.peer_rpc.post(peer, self.own_address, PATH, orjson.dumps(request), timeout)
+            body = await self.peer_rpc.post(
+                peer, self.own_address, REQUEST_PATH, orjson.dumps(request), timeout
+            )
         except PeerRpcError as error:
             self.member_index += 1
             error_type = OutcomeUnknownError if error.sent else NotAppliedError
@@ -115,11 +117,11 @@
         try:
             answer = orjson.loads(body)
         except orjson.JSONDecodeError:
-            raise OutcomeUnknownError("an answer that is none") from None
-        for key, answered_error in ERROR_TYPES.items():
+            raise OutcomeUnknownError("the answer is not valid JSON") from None
+        for key, answered_error_type in ERROR_TYPES.items():
             if key in answer:
                 self.member_index += 1
-                raise answered_error(str(answer[key]))
+                raise answered_error_type(str(answer[key]))
         return dict(answer)
 
     async def _apply(self, command: Command) -> CommandResult:
@@ -136,21 +138,21 @@
         except ValueError as error:
             raise NotAppliedError(str(error)) from None
 
-    async def grant_lease(self, seconds: float) -> GrantedLease:
-        """Create a lease."""
-        result = await self._apply(grant_new_lease(seconds))
+    async def grant_lease(self, ttl: float) -> GrantedLease:
+        """Create a lease with a TTL in seconds."""
+        result = await self._apply(grant_new_lease(ttl))
         if not result.applied:
-            raise NotAppliedError("no more leases, or none of that length")
+            raise NotAppliedError("lease not granted: too many leases, or TTL out of range")
         return GrantedLease(result.lease_id, result.ttl)
 
-    async def keep_alive(self, lease: int) -> float | None:
-        """Renew a lease; return its TTL, None if it has ended."""
-        result = await self._apply(KeepLeaseAlive(lease))
+    async def keep_alive(self, lease_id: int) -> float | None:
+        """Renew a lease; return its TTL in seconds, or None if it has ended."""
+        result = await self._apply(KeepLeaseAlive(lease_id))
         return result.ttl if result.ttl > 0 else None
 
-    async def revoke_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease_id: int) -> None:
         """End a lease and delete the entries that are bound to it."""
-        await self._apply(RevokeLease(lease))
+        await self._apply(RevokeLease(lease_id))
 
     async def compare_and_set(self, change: CompareAndSet) -> CompareAndSetResult:
         """Apply a conditional change."""
@@ -165,19 +167,19 @@
         """Return all entries whose keys start with the prefix."""
         return await self._query(encode_list_request(prefix))
 
-    async def watch(self, keys: Sequence[str], after: int) -> AsyncIterator[Snapshot]:
-        """Yield changes of these keys after a revision, and now and then a snapshot without changes."""
+    async def watch(self, keys: Sequence[str], after_revision: int) -> AsyncIterator[Snapshot]:
+        """Yield the changes of these keys after a revision, and periodically a snapshot without changes."""
         while True:
-            request: JsonObject = {"do": "since", "keys": list(keys), "after": after}
+            request: JsonObject = {"do": "since", "keys": list(keys), "after": after_revision}
             try:
                 snapshot = await self._query(request, WATCH_POLL_TIMEOUT)
             except ConsensusError as error:
                 raise NotAppliedError(str(error), error.retry_after) from None
-            after = max(after, snapshot.revision)
+            after_revision = max(after_revision, snapshot.revision)
             yield snapshot
 
     async def close(self) -> None:
-        """Leave the group if this node is a member."""
+        """Stop the node's own replica, if the node is a member of the group."""
         if self.replica:
-            self.peer_rpc.routes.pop(PATH, None)
+            self.peer_rpc.routes.pop(REQUEST_PATH, None)
             await self.replica.end()
--- a/shelfhaven/consensus/raft_replica.py
+++ b/shelfhaven/consensus/raft_replica.py
@@ -1,10 +1,10 @@
-"""One member of a Raft group that the nodes form themselves: the document, replicated by pysyncobj.
+"""One member of a Raft group that the nodes form; pysyncobj replicates the document.
 
-This module owns the library's object, its journal, and the observation of leases. A member never answers a
-query from its own copy: queries go through the log like commands. Only watches are served from the copy.
+This module manages the pysyncobj object, its journal and the expiry of leases. Queries go through the Raft
+log like commands, as the local copy of the document may be stale; only watches are served from it.
 
-Imported only where the operator's file asks for it: the library and its encryption take some 11 MB, a thread
-and a port.
+The module is imported only if the operator configuration selects it: pysyncobj and its encryption need
+about 11 MB of memory, a thread and a port.
 """
 
 from __future__ import annotations
@@ -30,27 +30,27 @@
     from pysyncobj import SyncObjConf
 
 OBSERVE_INTERVAL = 0.2  # seconds between two observations of the leases
-EXPIRE_TIMEOUT = 1.0  # seconds in which the group has to commit the end of a lease
-MAX_PENDING_REQUESTS = 512  # requests that wait for the log
-COMPACT_AFTER_ENTRIES = 5000  # journal entries after which it is compacted
+EXPIRE_TIMEOUT = 1.0  # seconds to wait until the group commits the expiry of a lease
+MAX_PENDING_REQUESTS = 512  # requests waiting to be committed
+COMPACT_AFTER_ENTRIES = 5000  # journal entries after which the journal is compacted
 COMPACT_AFTER_SECONDS = 300.0  # seconds after which the journal is compacted
-TICK_INTERVAL = 0.02  # seconds between two turns of the library's thread
-# Numbers of pysyncobj.FAIL_REASON for failures before the log: a full queue, and no leader.
+TICK_INTERVAL = 0.02  # polling interval of pysyncobj's thread in seconds
+# pysyncobj.FAIL_REASON codes of requests that never reached the log: QUEUE_FULL and MISSING_LEADER.
 NOT_APPLIED_REASONS = (1, 2)
 
-CommitCallback = Callable[[bytes, int], None]  # the answer, and a number of pysyncobj.FAIL_REASON
+CommitCallback = Callable[[bytes, int], None]  # the answer, and a pysyncobj.FAIL_REASON code
 
 
 class ReplicatedDocument(Protocol):
-    """The replication library's object, as this module uses it."""
+    """The part of the pysyncobj object that this module uses."""
 
     document: Document
 
     def act(self, data: bytes, *, callback: CommitCallback) -> None:
-        """Append a request to the log; call back once it is applied or has failed."""
+        """Append a request to the log; call `callback` when it has been applied or has failed."""
 
     def is_leader(self) -> bool:
-        """Whether this member takes itself for the leader."""
+        """Whether this member considers itself the leader."""
 
     def destroy(self) -> None:
         """Leave the group."""
@@ -74,12 +74,12 @@
         self.password = password
         self.journal = journal
         self.log = log
-        self.lock = threading.Lock()  # the document is shared by the library's thread and the event loop
+        self.lock = threading.Lock()  # guards the document, which pysyncobj's thread and the event loop share
         self.expiry_observer = LeaseExpiryObserver()
         self.pending_requests = 0
         self.replicated: ReplicatedDocument | None = None
         self.expiry_task: asyncio.Task[None] | None = None
-        self.changed = asyncio.Event()  # replaced by a new one at each change
+        self.changed = asyncio.Event()  # set at the next change, and then replaced
         self.loop: asyncio.AbstractEventLoop | None = None
 
     def start(self) -> None:
@@ -98,11 +98,11 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member takes itself for the leader."""
+        """Whether this member considers itself the leader."""
         return self.replicated is not None and self.replicated.is_leader()
 
     def notify_changed(self) -> None:
-        """Wake the watches after a change of the document; called in the library's thread."""
+        """Wake the watches after a change of the document; called from pysyncobj's thread."""
         if self.loop:
             self.loop.call_soon_threadsafe(self._wake_watches)
 
@@ -111,18 +111,18 @@
         self.changed = asyncio.Event()
 
     async def submit(self, request: JsonObject, timeout: float) -> JsonObject:
-        """Send a request through the log and return its answer.
+        """Commit a request through the Raft log and return its answer.
 
         Raises NotAppliedError or OutcomeUnknownError.
         """
         if self.replicated is None or self.pending_requests >= MAX_PENDING_REQUESTS:
-            raise NotAppliedError("too many requests wait")
+            raise NotAppliedError("this member has left the group, or too many requests are pending")
         self.pending_requests += 1
         try:
             async with asyncio.timeout(timeout):
                 committed = await _commit(self.replicated, orjson.dumps(request))
         except TimeoutError:
-            raise OutcomeUnknownError("no answer of the other members") from None
+            raise OutcomeUnknownError("timed out while waiting for the group to commit the request") from None
         finally:
             self.pending_requests -= 1
         answer: JsonObject = orjson.loads(committed)
@@ -131,7 +131,10 @@
         return answer
 
     async def wait_for_changes(self, keys: Sequence[str], after: int, timeout: float) -> JsonObject:
-        """Return changes of these keys after a revision, as known here; wait for one for a limited time."""
+        """Return the changes of these keys after a revision, according to the local copy of the document.
+
+        Wait for a change at most `timeout` seconds if there is none yet.
+        """
         changed = self.changed
         snapshot = self._changes_since(keys, after)
         if not snapshot.items:
@@ -143,21 +146,21 @@
 
     def _changes_since(self, keys: Sequence[str], after: int) -> Snapshot:
         if self.replicated is None:
-            raise NotAppliedError("this member has left")
+            raise NotAppliedError("this member has left the group")
         with self.lock:
             document = self.replicated.document
             changes = document.changes_since(keys, after)
             revision = document.revision
         if changes is None:
-            raise NotAppliedError("a past that is not remembered here")
+            raise NotAppliedError("the changes since this revision are not available on this member")
         return Snapshot(revision, changes)
 
     async def _expire_leases(self) -> None:
-        """Observe all leases on every member; on the leader, end those that have expired.
+        """Observe all leases periodically and, on the leader, end those that have expired.
 
-        A follower's observations stay valid when it becomes the leader. It saw each renewal late, if at
-        all; and one that it has not seen precedes the command that would end the lease in the log, so that
-        the document rejects that command.
+        Followers observe as well, and their observations stay valid when they become the leader. A follower
+        sees a renewal late or not at all. A renewal that it has not seen precedes the expiry command in the
+        log, so that the document rejects that command.
         """
         was_leader = False
         while True:
@@ -178,37 +181,37 @@
 
 @dataclass(frozen=True, slots=True)
 class _CommitOutcome:
-    """What the library reports of a request; the answer counts only if `reason` is 0."""
+    """What pysyncobj reports about a request; `answer` is valid only if `fail_reason` is 0."""
 
     answer: bytes
-    reason: int  # of pysyncobj.FAIL_REASON; 0 stands for success
+    fail_reason: int  # a pysyncobj.FAIL_REASON code; 0 means success
 
 
 async def _commit(replicated: ReplicatedDocument, data: bytes) -> bytes:
-    """Append a request to the log and return the answer once it is applied."""
+    """Append a request to the log and return its answer when it has been applied."""
     loop = asyncio.get_running_loop()
-    reported: asyncio.Future[_CommitOutcome] = loop.create_future()
-
-    def report(outcome: _CommitOutcome) -> None:
-        """Report in the event loop; the wait for the answer may have ended."""
-        if not reported.done():
-            reported.set_result(outcome)
-
-    def report_from_thread(answer: bytes, reason: int) -> None:
-        """Take the outcome from the library's thread to the event loop."""
-        loop.call_soon_threadsafe(report, _CommitOutcome(answer, reason))
-
-    replicated.act(data, callback=report_from_thread)
-    outcome = await reported
-    if outcome.reason:
-        error_type = NotAppliedError if outcome.reason in NOT_APPLIED_REASONS else OutcomeUnknownError
-        raise error_type(f"the members say {outcome.reason}")
+    outcome_future: asyncio.Future[_CommitOutcome] = loop.create_future()
+
+    def set_outcome(outcome: _CommitOutcome) -> None:
+        """Set the outcome in the event loop, unless the wait for it was cancelled."""
+        if not outcome_future.done():
+            outcome_future.set_result(outcome)
+
+    def set_outcome_threadsafe(answer: bytes, fail_reason: int) -> None:
+        """Pass the outcome from pysyncobj's thread to the event loop."""
+        loop.call_soon_threadsafe(set_outcome, _CommitOutcome(answer, fail_reason))
+
+    replicated.act(data, callback=set_outcome_threadsafe)
+    outcome = await outcome_future
+    if outcome.fail_reason:
+        error_type = NotAppliedError if outcome.fail_reason in NOT_APPLIED_REASONS else OutcomeUnknownError
+        raise error_type(f"pysyncobj reported failure code {outcome.fail_reason}")
     return outcome.answer
 
 
 @contextlib.contextmanager
-def _notifying_changes(replica: RaftReplica, document: Document) -> Iterator[None]:
-    """Hold the lock on the document; tell the replica afterwards if its revision has changed."""
+def _locked_for_change(replica: RaftReplica, document: Document) -> Iterator[None]:
+    """Hold the lock on the document; wake the watches afterwards if its revision has changed."""
     with replica.lock:
         revision = document.revision
         yield
@@ -218,7 +221,7 @@
 
 
 def _configuration(replica: RaftReplica) -> SyncObjConf:
-    """Return the library's settings for a member; without a journal nothing is kept on disk."""
+    """Return the pysyncobj settings of a member; without a journal path, nothing is stored on disk."""
     from pysyncobj import SyncObjConf
 
     journal = replica.journal
@@ -238,15 +241,15 @@
 
 
 def _join_group(replica: RaftReplica) -> ReplicatedDocument:
-    """Create the library's object; its thread joins the group."""
+    """Create the pysyncobj object, whose thread joins the group."""
     from pysyncobj import SyncObj, replicated
 
     class SyncedDocument(SyncObj):  # type: ignore[misc]
-        """The document, and the one replicated method that changes it.
+        """The document and the only replicated method, which changes it.
 
-        Dump files hold this object's attributes by name, and log entries refer to the replicated method by
-        its position among all: neither `document` nor `act` may be renamed, and no attribute or replicated
-        method may be added.
+        Dump files contain the attributes of this object by name, and log entries refer to a replicated
+        method by its position among all replicated methods. Therefore `document` and `act` must not be
+        renamed, and no attribute or replicated method may be added.
         """
 
         def __init__(self) -> None:
@@ -254,14 +257,14 @@
             self.document = Document()
 
         def is_leader(self) -> bool:
-            """Whether this member takes itself for the leader."""
+            """Whether this member considers itself the leader."""
             return bool(self._isLeader())
 
         @replicated  # type: ignore[misc]
         def act(self, data: bytes) -> bytes:
-            """Apply a request in JSON; return the answer in JSON."""
+            """Apply a JSON-encoded request; return the JSON-encoded answer."""
             try:
-                with _notifying_changes(replica, self.document):
+                with _locked_for_change(replica, self.document):
                     answer = apply_request(self.document, orjson.loads(data))
             except ValueError as error:
                 return orjson.dumps({"fault": str(error)})
--- a/shelfhaven/consensus/state_machine.py
+++ b/shelfhaven/consensus/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated state machine: entries and leases, changed only by commands, identically on every replica.
+"""The replicated state machine: a document of entries and leases that only commands change.
 
-The document never reads a clock. That a lease has expired is a command too: a member that has seen no
-renewal of the lease for longer than its TTL (`lease_expiry`) proposes it, and the document rejects it if the
-lease was kept alive in between.
+Applying the same commands yields the same document on every replica, so the document never reads a clock. The
+expiry of a lease is a command as well: a member that has seen no renewal for longer than the TTL
+(see `lease_expiry`) proposes it, and the document rejects it if the lease was renewed in the meantime.
 """
 
 from __future__ import annotations
@@ -30,31 +30,37 @@
 
 MAX_ENTRIES = 4096
 MAX_LEASES = 4096
-MAX_TOTAL_BYTES = 1 << 20  # all values together
+MAX_TOTAL_BYTES = 1 << 20  # of all values together
 MAX_LEASE_TTL = 3600.0  # seconds
-MAX_RECENT_DELETIONS = 512  # that watches can still be told
+MAX_RECENT_DELETIONS = 512  # deletions kept for watches
 
 
 @dataclass(slots=True)
 class Lease:
-    """A lease. Its fields keep their names: see the end of this module."""
+    """The TTL of a lease and its number of renewals.
 
-    seconds: float  # its TTL
-    beat: int = 0  # how often it has been renewed
+    The field names are part of a stored format: see the end of this module.
+    """
+
+    seconds: float  # the TTL
+    beat: int = 0  # number of renewals
 
 
 @dataclass(slots=True)
 class Document:
-    """The replicated state. Its fields keep their names: see the end of this module."""
+    """The replicated state: entries, leases and the most recent deletions.
+
+    The field names are part of a stored format: see the end of this module.
+    """
 
     revision: int = 1
     items: dict[str, Entry] = field(default_factory=dict)
     leases: dict[int, Lease] = field(default_factory=dict)  # by lease id
-    # the last deletions: revision and key
+    # the revisions and keys of the most recent deletions
     gone: deque[tuple[int, str]] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_DELETIONS))
 
     def apply(self, command: Command) -> CommandResult:
-        """Apply one command. A command that exceeds a bound is not applied."""
+        """Apply one command; a command that would exceed a limit is not applied."""
         match command:
             case CompareAndSet():
                 return self._compare_and_set(command)
@@ -82,7 +88,7 @@
         return CommandResult(True, self.revision)
 
     def _is_allowed(self, change: CompareAndSet) -> bool:
-        """Whether a change stays within the bounds and refers to existing leases only."""
+        """Whether a change stays within the limits and refers only to existing leases."""
         if any(put.lease and put.lease not in self.leases for put in change.put.values()):
             return False
         if any(
@@ -136,28 +142,33 @@
 
     def list_prefix(self, prefix: str) -> Snapshot:
         """Return all entries whose keys start with the prefix."""
-        found = {key: entry for key, entry in self.items.items() if key.startswith(prefix)}
-        return Snapshot(self.revision, found)
+        matching = {key: entry for key, entry in self.items.items() if key.startswith(prefix)}
+        return Snapshot(self.revision, matching)
+
+    def changes_since(self, keys: Iterable[str], after_revision: int) -> Entries | None:
+        """Return the entries of those keys that changed after a revision, None for each deleted one.
 
-    def changes_since(self, keys: Iterable[str], after: int) -> Entries | None:
-        """Return those of the keys that changed after a revision; None if that is no longer known."""
-        if after > self.revision:
+        Return None if the document no longer holds all deletions since that revision, or if the revision is
+        newer than the document, which means that it comes from another store.
+        """
+        if after_revision > self.revision:
             return None
         if len(self.gone) == MAX_RECENT_DELETIONS:
-            oldest_known_revision, _ = self.gone[0]
-            if after < oldest_known_revision:
+            oldest_deletion_revision, _ = self.gone[0]
+            if after_revision < oldest_deletion_revision:
                 return None
-        deleted = {key for revision, key in self.gone if revision > after}
+        deleted = {key for revision, key in self.gone if revision > after_revision}
         changed: dict[str, Entry | None] = {}
         for key in keys:
             entry = self.items.get(key)
             if entry is None and key in deleted:
                 changed[key] = None
-            elif entry is not None and entry.revision > after:
+            elif entry is not None and entry.revision > after_revision:
                 changed[key] = entry
         return changed
 
 
-# pysyncobj pickles the document whole, in dump files and for members that catch up, which may run another
-# version: neither this path nor the names of the two classes and of their fields may change.
+# pysyncobj pickles the whole document into dump files and sends it to members that catch up, which may run
+# another version. Therefore this module path, the names of the two classes and the names of their fields
+# must not change.
 Document.__module__ = Lease.__module__ = "shelfhaven.membership.agreement.document"
--- a/tests/consensus/test_codec.py
+++ b/tests/consensus/test_codec.py
@@ -1,4 +1,4 @@
-"""The JSON form of commands, results and requests, and the pickled form of the document."""
+"""Tests of the JSON encoding of commands, results and requests, and of pickled documents."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from shelfhaven.consensus.commands import Command, GrantLease, KeepLeaseAlive, RevokeLease
 from shelfhaven.consensus.state_machine import Document
 from shelfhaven.consensus.store import CompareAndSet, Entry, Put, Snapshot
-from tests.consensus.stores import put
+from tests.consensus.stores import conditional_put
 
 KEYS = st.sampled_from("abc")
 LEASE_IDS = st.integers(0, 4)
@@ -35,17 +35,17 @@
 
 
 @given(COMMANDS)
-def test_commands_and_documents_survive_being_sent(commands: list[Command]) -> None:
-    here, there = Document(), Document()
+def test_commands_results_and_documents_survive_a_round_trip(commands: list[Command]) -> None:
+    original, copy = Document(), Document()
     for command in commands:
-        before = here.revision
-        result = here.apply(command)
-        again = there.apply(codec.decode_command(codec.encode_command(command)))
-        assert codec.decode_result(codec.encode_result(result)) == again == result
-        assert here.revision in (before, before + 1)
-        there = pickle.loads(pickle.dumps(there))  # as the replication library keeps it
-        assert there == here
-    assert all(entry.lease in (0, *here.leases) for entry in here.items.values())
+        revision_before = original.revision
+        result = original.apply(command)
+        copy_result = copy.apply(codec.decode_command(codec.encode_command(command)))
+        assert codec.decode_result(codec.encode_result(result)) == copy_result == result
+        assert original.revision in (revision_before, revision_before + 1)
+        copy = pickle.loads(pickle.dumps(copy))  # as pysyncobj stores and sends it
+        assert copy == original
+    assert all(entry.lease in (0, *original.leases) for entry in original.items.values())
 
 
 @pytest.mark.parametrize(
@@ -61,14 +61,14 @@
         {"do": "expire", "lease": 1},
     ],
 )
-def test_what_is_no_command_is_rejected(raw: Any) -> None:
-    with pytest.raises(ValueError, match="no step|could not convert"):
+def test_invalid_commands_are_rejected(raw: Any) -> None:
+    with pytest.raises(ValueError, match="invalid command|could not convert"):
         codec.decode_command(raw)
 
 
-def test_a_request_of_another_node_is_applied_or_answered_from_the_document() -> None:
+def test_apply_request_applies_commands_and_answers_queries() -> None:
     document = Document()
-    answer = codec.apply_request(document, codec.encode_command(put("duty/a", b"1")))
+    answer = codec.apply_request(document, codec.encode_command(conditional_put("duty/a", b"1")))
     assert codec.decode_result(answer).applied
     read = codec.apply_request(document, codec.encode_read_request(["duty/a", "other"]))
     assert codec.decode_snapshot(read) == Snapshot(2, {"duty/a": Entry(b"1", 2), "other": None})
@@ -77,14 +77,14 @@
 
 
 @pytest.mark.parametrize("raw", [None, {}, {"do": "read"}, {"do": "read", "keys": 1}, {"do": "listed"}])
-def test_a_request_that_is_none_is_rejected(raw: Any) -> None:
-    with pytest.raises(ValueError, match="no request"):
+def test_invalid_requests_are_rejected(raw: Any) -> None:
+    with pytest.raises(ValueError, match="invalid request"):
         codec.apply_request(Document(), raw)
 
 
 @pytest.mark.parametrize("raw", [None, {}, {"done": True}, {"done": True, "revision": 1, "found": []}])
-def test_an_answer_that_is_none_is_rejected(raw: Any) -> None:
-    with pytest.raises(ValueError, match="no answer"):
+def test_invalid_results_and_snapshots_are_rejected(raw: Any) -> None:
+    with pytest.raises(ValueError, match="invalid result"):
         codec.decode_result(raw)
-    with pytest.raises(ValueError, match="no items"):
+    with pytest.raises(ValueError, match="invalid snapshot"):
         codec.decode_snapshot(raw)
--- a/tests/consensus/test_etcd_store.py
+++ b/tests/consensus/test_etcd_store.py
@@ -1,4 +1,4 @@
-"""Failures of an etcd cluster: lost answers are outcomes unknown, refusals are not applied."""
+"""Failures of an etcd cluster: a lost response leaves the outcome unknown, a rejected call had no effect."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from shelfhaven.consensus.etcd_store import EtcdStore
 from shelfhaven.consensus.store import CompactedError, NotAppliedError, OutcomeUnknownError
 from shelfhaven.lab.etcd_stub import EtcdStub, Mode
-from tests.consensus.stores import LOG, put
+from tests.consensus.stores import LOG, conditional_put
 
 
-def test_an_answer_that_is_lost_after_the_effect_is_an_unknown_outcome_and_a_rejection_is_not() -> None:
+def test_lost_responses_have_an_unknown_outcome_and_rejected_calls_are_not_applied() -> None:
     async def check() -> None:
         stub = EtcdStub()
         await stub.start()
         store = EtcdStore([stub.address], "/agreed/", 0.5, LOG)
         stub.lost_answers["Txn"] = 1
         with pytest.raises(OutcomeUnknownError):
-            await store.compare_and_set(put("a", b"1"))
-        seen = await store.read(["a"])
-        assert seen.items["a"], "it took place"
+            await store.compare_and_set(conditional_put("a", b"1"))
+        snapshot = await store.read(["a"])
+        assert snapshot.items["a"], "the change was applied although the response was lost"
         stub.mode, stub.advice = Mode.REJECT, 7.0
-        with pytest.raises(NotAppliedError) as refused:
-            await store.compare_and_set(put("b", b"1"))
-        assert refused.value.retry_after == 7.0
+        with pytest.raises(NotAppliedError) as rejected:
+            await store.compare_and_set(conditional_put("b", b"1"))
+        assert rejected.value.retry_after == 7.0
         stub.mode = Mode.LEADERLESS
         with pytest.raises(OutcomeUnknownError):
             await store.grant_lease(5.0)
@@ -34,19 +34,19 @@
             await store.keep_alive(1)
         stub.mode = Mode.SERVE
         with pytest.raises(NotAppliedError):
-            await store.compare_and_set(put("b", b"1", lease=99))
+            await store.compare_and_set(conditional_put("b", b"1", lease=99))
         stub.answer_delays["Txn"] = 0.8
         with pytest.raises(OutcomeUnknownError):
-            await store.compare_and_set(put("c", b"1"))
+            await store.compare_and_set(conditional_put("c", b"1"))
         stub.answer_delays.clear()
-        assert (await store.read(["c"])).items["c"], "late, and done"
+        assert (await store.read(["c"])).items["c"], "the change was applied, but too late"
         await store.close()
         await stub.stop()
 
     asyncio.run(check())
 
 
-def test_an_endpoint_that_stalls_is_left_for_the_next() -> None:
+def test_store_switches_to_the_next_endpoint_after_a_timeout() -> None:
     async def check() -> None:
         stub = EtcdStub(port_count=3)
         await stub.start()
@@ -54,27 +54,27 @@
         store = EtcdStore([f"127.0.0.1:{port}" for port in stub.ports], "/agreed/", 0.4, LOG)
         with pytest.raises(OutcomeUnknownError):
             await store.read(["a"])
-        assert (await store.compare_and_set(put("a", b"1"))).applied
+        assert (await store.compare_and_set(conditional_put("a", b"1"))).applied
         await store.close()
         await stub.stop()
 
     asyncio.run(check())
 
 
-def test_another_store_behind_the_same_address_is_noticed_by_changes_and_watches() -> None:
+def test_changes_and_watches_detect_a_replaced_store_behind_the_same_address() -> None:
     async def check() -> None:
         stub = EtcdStub()
         await stub.start()
         store = EtcdStore([stub.address], "/agreed/", 1.0, LOG)
-        at = await store.compare_and_set(put("a", b"1"))
+        first = await store.compare_and_set(conditional_put("a", b"1"))
         stub.forget()
         with pytest.raises(OutcomeUnknownError):
-            await store.compare_and_set(put("b", b"1"))
-        seen = await store.read(["a", "b"])
-        assert seen.items["a"] is None
-        assert seen.items["b"], "it was done there"
-        assert seen.revision <= at.revision, "revisions begin anew"
-        assert (await store.compare_and_set(put("c", b"1"))).applied
+            await store.compare_and_set(conditional_put("b", b"1"))
+        snapshot = await store.read(["a", "b"])
+        assert snapshot.items["a"] is None
+        assert snapshot.items["b"], "the new store applied the change"
+        assert snapshot.revision <= first.revision, "the revisions of the new store start again"
+        assert (await store.compare_and_set(conditional_put("c", b"1"))).applied
         stub.put("/agreed/x", "1")
         stub.compact()
         watch = store.watch(["a"], 1)
@@ -86,7 +86,7 @@
     asyncio.run(check())
 
 
-def test_a_call_whose_channel_is_left_for_another_ends_in_an_answer_all_the_same() -> None:
+def test_calls_on_a_replaced_or_closed_channel_end_with_a_result_or_an_error() -> None:
     async def check() -> None:
         stub = EtcdStub()
         await stub.start()
@@ -95,13 +95,14 @@
         stub.answer_delays["LeaseKeepAlive"] = 0.3
         renewal = asyncio.ensure_future(store.keep_alive(lease.lease_id))
         await asyncio.sleep(0.1)
-        store.link.drop()  # another call failed meanwhile
+        store.etcd_channel.drop()  # as after the failure of another call
         assert await renewal == 5.0
         stub.answer_delays["LeaseKeepAlive"] = 5.0
         renewal = asyncio.ensure_future(store.keep_alive(lease.lease_id))
         await asyncio.sleep(0.1)
-        assert store.link.channel
-        await store.link.channel.close()  # what gRPC does then is no cancellation that anybody asked for
+        assert store.etcd_channel.channel
+        # gRPC then cancels the call; keep_alive must not raise CancelledError, as nobody cancelled its task.
+        await store.etcd_channel.channel.close()
         with pytest.raises(OutcomeUnknownError):
             await renewal
         await store.close()
