--- a/shelfhaven/consensus/commands.py
+++ b/shelfhaven/consensus/commands.py
@@ -19,8 +19,8 @@
 class GrantLease:
     """Create a lease with an id that the client has chosen at random.
 
-    Ids must be unique across stores, not only within one: after a store is replaced by an empty one, a client
-    that still renews its lease of the old store would otherwise keep another client's lease alive.
+    Ids must be unique across stores, not only within one. Otherwise, when an empty store has replaced the old
+    one, a client that still renews its old lease could keep alive another client's lease with the same id.
     """
 
     ttl: float  # seconds
--- a/shelfhaven/consensus/lease_expiry.py
+++ b/shelfhaven/consensus/lease_expiry.py
@@ -35,11 +35,11 @@
         for lease_id in list(self.observations):
             if lease_id not in leases:
                 del self.observations[lease_id]
-        expired: list[ExpireLease] = []
+        commands: list[ExpireLease] = []
         for lease_id, lease in leases.items():
             observation = self.observations.get(lease_id)
             if observation is None or observation.renewals != lease.beat:
                 self.observations[lease_id] = Observation(lease.beat, now)
             elif now - observation.first_seen >= lease.seconds * CLOCK_RATE_MARGIN:
-                expired.append(ExpireLease(lease_id, lease.beat))
-        return expired
+                commands.append(ExpireLease(lease_id, lease.beat))
+        return commands
--- a/shelfhaven/consensus/raft_replica.py
+++ b/shelfhaven/consensus/raft_replica.py
@@ -77,7 +77,7 @@
         self.lock = threading.Lock()  # guards the document, which pysyncobj's thread and the event loop share
         self.expiry_observer = LeaseExpiryObserver()
         self.pending_requests = 0
-        self.replicated: ReplicatedDocument | None = None
+        self.replicated_document: ReplicatedDocument | None = None
         self.expiry_task: asyncio.Task[None] | None = None
         self.changed = asyncio.Event()  # set at the next change, and then replaced
         self.loop: asyncio.AbstractEventLoop | None = None
@@ -85,21 +85,21 @@
     def start(self) -> None:
         """Join the group."""
         self.loop = asyncio.get_running_loop()
-        self.replicated = _join_group(self)
+        self.replicated_document = _join_group(self)
         self.expiry_task = asyncio.ensure_future(self._expire_leases())
 
     async def end(self) -> None:
         """Leave the group."""
         if self.expiry_task:
             self.expiry_task.cancel()
-        if self.replicated:
-            replicated, self.replicated = self.replicated, None
-            replicated.destroy()
+        if self.replicated_document:
+            document, self.replicated_document = self.replicated_document, None
+            document.destroy()
 
     @property
     def is_leader(self) -> bool:
         """Whether this member considers itself the leader."""
-        return self.replicated is not None and self.replicated.is_leader()
+        return self.replicated_document is not None and self.replicated_document.is_leader()
 
     def notify_changed(self) -> None:
         """Wake the watches after a change of the document; called from pysyncobj's thread."""
@@ -115,41 +115,41 @@
 
         Raises NotAppliedError or OutcomeUnknownError.
         """
-        if self.replicated is None or self.pending_requests >= MAX_PENDING_REQUESTS:
+        if self.replicated_document is None or self.pending_requests >= MAX_PENDING_REQUESTS:
             raise NotAppliedError("this member has left the group, or too many requests are pending")
         self.pending_requests += 1
         try:
             async with asyncio.timeout(timeout):
-                committed = await _commit(self.replicated, orjson.dumps(request))
+                answer_json = await _commit(self.replicated_document, orjson.dumps(request))
         except TimeoutError:
             raise OutcomeUnknownError("timed out while waiting for the group to commit the request") from None
         finally:
             self.pending_requests -= 1
-        answer: JsonObject = orjson.loads(committed)
+        answer: JsonObject = orjson.loads(answer_json)
         if "fault" in answer:
             raise NotAppliedError(answer["fault"])
         return answer
 
-    async def wait_for_changes(self, keys: Sequence[str], after: int, timeout: float) -> JsonObject:
+    async def wait_for_changes(self, keys: Sequence[str], after_revision: int, timeout: float) -> JsonObject:
         """Return the changes of these keys after a revision, according to the local copy of the document.
 
         Wait for a change at most `timeout` seconds if there is none yet.
         """
         changed = self.changed
-        snapshot = self._changes_since(keys, after)
+        snapshot = self._changes_since(keys, after_revision)
         if not snapshot.items:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(timeout):
                     await changed.wait()
-                snapshot = self._changes_since(keys, after)
+                snapshot = self._changes_since(keys, after_revision)
         return encode_snapshot(snapshot)
 
-    def _changes_since(self, keys: Sequence[str], after: int) -> Snapshot:
-        if self.replicated is None:
+    def _changes_since(self, keys: Sequence[str], after_revision: int) -> Snapshot:
+        if self.replicated_document is None:
             raise NotAppliedError("this member has left the group")
         with self.lock:
-            document = self.replicated.document
-            changes = document.changes_since(keys, after)
+            document = self.replicated_document.document
+            changes = document.changes_since(keys, after_revision)
             revision = document.revision
         if changes is None:
             raise NotAppliedError("the changes since this revision are not available on this member")
@@ -165,14 +165,16 @@
         was_leader = False
         while True:
             await asyncio.sleep(OBSERVE_INTERVAL)
-            if self.replicated is None:
+            if self.replicated_document is None:
                 return
             with self.lock:
-                expired = self.expiry_observer.observe(boottime(), self.replicated.document.leases)
+                expiry_commands = self.expiry_observer.observe(
+                    boottime(), self.replicated_document.document.leases
+                )
             if self.is_leader and not was_leader:
                 self.log.event("agreement_leads", member=self.own_address)
             was_leader = self.is_leader
-            for command in expired if was_leader else ():
+            for command in expiry_commands if was_leader else ():
                 try:
                     await self.submit(encode_command(command), EXPIRE_TIMEOUT)
                 except (NotAppliedError, OutcomeUnknownError) as error:
@@ -187,7 +189,7 @@
     fail_reason: int  # a pysyncobj.FAIL_REASON code; 0 means success
 
 
-async def _commit(replicated: ReplicatedDocument, data: bytes) -> bytes:
+async def _commit(document: ReplicatedDocument, data: bytes) -> bytes:
     """Append a request to the log and return its answer when it has been applied."""
     loop = asyncio.get_running_loop()
     outcome_future: asyncio.Future[_CommitOutcome] = loop.create_future()
@@ -201,7 +203,7 @@
         """Pass the outcome from pysyncobj's thread to the event loop."""
         loop.call_soon_threadsafe(set_outcome, _CommitOutcome(answer, fail_reason))
 
-    replicated.act(data, callback=set_outcome_threadsafe)
+    document.act(data, callback=set_outcome_threadsafe)
     outcome = await outcome_future
     if outcome.fail_reason:
         error_type = NotAppliedError if outcome.fail_reason in NOT_APPLIED_REASONS else OutcomeUnknownError
@@ -270,5 +272,5 @@
                 return orjson.dumps({"fault": str(error)})
             return orjson.dumps(answer)
 
-    synced: ReplicatedDocument = SyncedDocument()
-    return synced
+    synced_document: ReplicatedDocument = SyncedDocument()
+    return synced_document
