--- a/shelfhaven/decision/actions.py
+++ b/shelfhaven/decision/actions.py
@@ -1,6 +1,6 @@
-"""Actions that a controller asks its host to carry out.  Types only: no policy lives here.
+"""Actions that a controller asks its host to carry out.
 
-Times are seconds, request ids are those of the events.
+This module defines data types only.  Times are in seconds; request ids are those of the events.
 """
 
 from __future__ import annotations
@@ -11,21 +11,25 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Start a queued request or resume a suspended one."""
+    """Start a queued request, or resume a suspended one."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class StopRun:
-    """Stop a running request, as the settings' cancel mode says."""
+    """Stop a running request in the way that `Settings.cancel_mode` gives."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not executed; when to come back, and whether a retry elsewhere would be of no use."""
+    """Send the final answer that the request was not executed.
+
+    `retry_after` tells the caller when to come back; `no_retry_elsewhere` that another server would be of no
+    use either.
+    """
 
     request_id: int
     retry_after: float = 0.0
@@ -34,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: an error that promises nothing about the effect."""
+    """Send an error as the final answer; the request may or may not have had its effect."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RetainKey:
-    """Enter the request in the key table for `ttl` seconds."""
+    """Keep the request's idempotency key in the key table for `ttl` seconds."""
 
     request_id: int
     ttl: float
@@ -49,21 +53,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseKey:
-    """Drop the request's entry from the key table."""
+    """Remove the request's idempotency key from the key table."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFromOriginal:
-    """Answer a repeated request from the one that it repeats."""
+    """Answer a duplicate with the result of its original."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class PlaceCall:
-    """Place the downstream call the request waits for; without a timeout its class's deadline applies."""
+    """Place the downstream call that the request waits for.
+
+    Where `timeout` is None, the deadline of the request's class limits the call.
+    """
 
     request_id: int
     timeout: float | None
@@ -71,14 +78,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SkipCall:
-    """Go on without the downstream call."""
+    """Continue the request without its downstream call."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` event; one for a request need not come once that request is over."""
+    """Send a `TimerFired` event with this token after `delay` seconds.
+
+    Where `request_id` is given, the host may drop the timer once that request is finished.
+    """
 
     delay: float
     token: int
@@ -87,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetHealth:
-    """Answer health checks so from now on; `cached`: without doing work for each."""
+    """Set the result of health checks from now on; if `cached`, the host does no work for each check."""
 
     healthy: bool
     cached: bool = True
@@ -95,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvertiseLoad:
-    """Send this value along with every later answer."""
+    """Attach this load value to every later answer."""
 
     value: float
 
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """Close connections that have been idle for so long; None restores the site's default."""
+    """Close connections that have been idle for `timeout` seconds; None restores the site's default."""
 
     timeout: float | None
 
--- a/shelfhaven/decision/controller.py
+++ b/shelfhaven/decision/controller.py
@@ -1,13 +1,20 @@
-"""The decisions of one server: events in, actions out.
+"""The controller of one server: it takes events and returns actions.
 
-The controller owns the order in which the parts are called; each decides one thing and can be read alone.
-The mechanism that comes first is in `caller_table`: callers' headway counters and Retry-After.  `admission`
-says how much is admitted, `arrival` what becomes of a new request, `queueing` what runs next,
-`concurrency_limit` how many run at a time, `downstream` what becomes of calls, `health` whether the server is
-fit, `control_loop` what is adjusted at regular intervals.  docs/design.md tells why, and when each exception
-acts.
+The controller calls the other modules in the right order; each of them makes one kind of decision and can be
+read on its own:
 
-Nothing here reads a clock, draws at random or does I/O: `now` comes with each event, in seconds.
+- `caller_table`: the primary mechanism, callers' headway counters and Retry-After
+- `admission`: how many requests are admitted
+- `arrival`: whether a new request is admitted, rejected or answered from its original
+- `queueing`: which request runs next
+- `concurrency_limit`: how many requests run at a time
+- `downstream`: what is done about downstream calls
+- `health`: whether the server is healthy
+- `control_loop`: what is adjusted at regular intervals
+
+docs/design.md gives the reasons, and says when each exception to the primary mechanism applies.
+
+Nothing here reads a clock, uses random numbers or does I/O: `now`, in seconds, comes with each event.
 """
 
 from __future__ import annotations
@@ -25,17 +32,17 @@
 from shelfhaven.decision.settings import Outcome, Settings
 from shelfhaven.decision.timer_tokens import TICK_TOKEN, is_call_retry, request_id_of
 
-# Outcomes of a run that never started: no server had capacity for it, or none could be reached.
+# Outcomes of a run that never started: no backend had capacity for it, or none could be reached.
 RUN_NEVER_STARTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED)
 
 
 class Controller:
-    """Decides what one server admits, runs and rejects."""
+    """Decides which requests one server admits, runs and rejects."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         if settings.cores < 1 or settings.memory_kb <= 0 or not settings.classes:
-            raise ValueError("settings: a server needs at least one core, some memory and classes of request")
-        del seed  # part of the interface of controllers; this one draws nothing
+            raise ValueError("settings: cores must be at least 1, memory_kb positive and classes not empty")
+        del seed  # required by the controller interface; this controller uses no random numbers
         self.settings = settings
         self.state = ServerState(settings)
         self.answer_margin = self.state.answer_margin
@@ -44,29 +51,29 @@
         self._control_loop = ControlLoop(self.state)
 
     def on_event(self, now: float, event: events.Event) -> list[Action]:
-        """Take one event and return the actions it calls for."""
+        """Handle one event and return the actions to carry out."""
         actions: list[Action] = []
         self._lifecycle.actions = actions
         match event:
             case events.RequestArrived():
-                self._arrive(now, event)
+                self._handle_arrival(now, event)
             case events.TimerFired():
-                self._timer_fired(now, event)
+                self._handle_timer(now, event)
             case events.DrainStarted():
-                self._drain(now, event.time_left)
+                self._handle_drain(now, event.time_left)
             case events.ServerStarted():
-                self._start(now)
+                self._handle_start(now)
             case _:
                 request = self._requests.by_id.get(event.request_id)
-                if request is not None:  # else it has ended here
-                    self._progress(now, request, event)
+                if request is not None:  # None once the request has finished
+                    self._handle_request_event(now, request, event)
         self._dispatch(now)
         return actions
 
-    # Measurements, some of which may outlive the process
+    # Status and learned estimates
 
     def status(self) -> ControllerStatus:
-        """What it believes just now, for the log."""
+        """Return the current state of the controller, for the log."""
         state = self.state
         return ControllerStatus(
             admitted_share=state.admission.admitted_share,
@@ -80,32 +87,32 @@
         )
 
     def estimates(self) -> LearnedEstimates:
-        """What it has measured of runs and calls, as plain values."""
-        runs = self.state.runs
+        """Return the measurements of runs and calls that may outlive the process, as plain values."""
+        estimates = self.state.runs
         return LearnedEstimates(
-            run_means=tuple(runs.run_means),
-            hint_means=tuple(runs.hint_means),
-            hinted_run_means=tuple(runs.hinted_run_means),
+            run_means=tuple(estimates.run_means),
+            hint_means=tuple(estimates.hint_means),
+            hinted_run_means=tuple(estimates.hinted_run_means),
             call_mean=self.state.downstream.mean,
             call_deviation=self.state.downstream.deviation,
         )
 
     def restore_estimates(self, estimates: LearnedEstimates, weight: float) -> None:
-        """Take what a previous incarnation has measured as a prior of that weight (0 to 1)."""
+        """Use the estimates of a previous incarnation as a prior of the given weight (0 to 1)."""
         self.state.runs.restore(estimates, weight)
         self.state.downstream.restore(estimates.call_mean, estimates.call_deviation, weight)
 
     # Start, arrivals and drain
 
-    def _start(self, now: float) -> None:
+    def _handle_start(self, now: float) -> None:
         self.state.warm_up.start(now)
         self.state.health.stall_detector.start(now)
         self._lifecycle.actions += [SetTimer(CONTROL_INTERVAL_S, TICK_TOKEN), SetHealth(True)]
 
-    def _arrive(self, now: float, event: events.RequestArrived) -> None:
+    def _handle_arrival(self, now: float, event: events.RequestArrived) -> None:
         if event.request_id in self._requests.by_id:
             return
-        if not 0 <= event.class_index < len(self.settings.classes):  # an answer is owed all the same
+        if not 0 <= event.class_index < len(self.settings.classes):  # must be answered all the same
             self._lifecycle.actions.append(RejectRequest(event.request_id))
             return
         request = arrival.new_request(now, event, self.state)
@@ -119,10 +126,10 @@
             case Verdict.REJECT_EVERYWHERE:
                 self._lifecycle.reject(now, request, no_retry_elsewhere=True)
         if request.state is not RequestState.FINISHED:
-            self._lifecycle.set_decision_timers(now, request)
+            self._lifecycle.set_new_request_timers(now, request)
 
-    def _drain(self, now: float, time_left: float) -> None:
-        """Run nothing that comes after the grace, and answer everything before the stop."""
+    def _handle_drain(self, now: float, time_left: float) -> None:
+        """Start to drain: run no arrivals after the grace, and answer every request before the stop."""
         shutdown = self.state.shutdown
         shutdown.start(now, time_left, self.state.concurrency.idle_fraction)
         latest_answer_at = shutdown.stops_at - self.answer_margin
@@ -138,7 +145,7 @@
 
     # Timers
 
-    def _timer_fired(self, now: float, event: events.TimerFired) -> None:
+    def _handle_timer(self, now: float, event: events.TimerFired) -> None:
         if event.token == TICK_TOKEN:
             gauges = dict(zip(self.settings.gauges, event.gauges, strict=False))
             self._lifecycle.actions.append(SetTimer(CONTROL_INTERVAL_S, TICK_TOKEN))
@@ -149,12 +156,12 @@
             return
         if is_call_retry(event.token):
             if request.state is RequestState.CALL_NEEDED:
-                self._lifecycle.continue_call(now, request)
-        elif now >= self._ends_at(request) - self.settings.tick:
+                self._lifecycle.try_call(now, request)
+        elif now >= self._give_up_at(request) - self.settings.tick:
             self._lifecycle.give_up(now, request)
 
-    def _ends_at(self, request: Request) -> float:
-        """When a request is given up: by the start of its run while it is queued, else when it is due."""
+    def _give_up_at(self, request: Request) -> float:
+        """Return when a request is given up: while it waits to run, possibly before its due time."""
         if request.state in (RequestState.QUEUED, RequestState.REUSING):
             return request.decide_by(self.answer_margin)
         return request.due_at
@@ -162,58 +169,59 @@
     # Queue, runs and calls
 
     def _dispatch(self, now: float) -> None:
-        """Give up what has no hope left, then run what there is a free slot for."""
+        """Give up hopeless requests, then run queued ones while slots are free."""
         state = self.state
         queue = self._requests.queue
         if not queue:
             return
-        for request in state.scheduler.hopeless(now, queue, state.concurrency.spare_fraction()):
+        for request in state.scheduler.hopeless_requests(now, queue, state.concurrency.spare_fraction()):
             self._lifecycle.give_up(now, request)
         if not state.has_free_slot():
             return
-        for request in state.scheduler.order(now, queue):
+        for request in state.scheduler.run_order(now, queue):
             if not state.has_free_slot():
                 return
             if state.may_run(request):
                 self._lifecycle.run(now, request)
 
-    def _progress(self, now: float, request: Request, event: events.Event) -> None:
-        """What happens to a request that was read: its run, its calls, its cancellation."""
+    def _handle_request_event(self, now: float, request: Request, event: events.Event) -> None:
+        """Handle an event of a request in the table: its run, its calls or its cancellation."""
         match event:
             case events.RunFinished():
-                self._run_finished(now, request, event)
+                self._handle_run_finished(now, request, event)
             case events.CallNeeded() if request.state is RequestState.RUNNING:
                 self.state.health.stall_detector.record_progress(now)
-                self._lifecycle.need_call(now, request)
+                self._lifecycle.begin_call(now, request)
             case events.CallFinished() if request.state is RequestState.CALLING:
-                self._call_finished(now, request, event)
+                self._handle_call_finished(now, request, event)
             case events.RequestCancelled():
                 self._lifecycle.abandon(now, request)
 
-    def _run_finished(self, now: float, request: Request, event: events.RunFinished) -> None:
+    def _handle_run_finished(self, now: float, request: Request, event: events.RunFinished) -> None:
         state = self.state
         state.health.stall_detector.record_progress(now)
         if event.outcome is Outcome.CANCELLED and request.suspending and not request.answered:
-            self._lifecycle.suspended(now, request)
+            self._lifecycle.requeue_suspended(now, request)
             return
         if event.outcome is Outcome.OK and request.state in (RequestState.RUNNING, RequestState.CALLING):
             state.runs.record_run(request, positive_or_zero(event.duration))
         if event.outcome in RUN_NEVER_STARTED and request.state is RequestState.RUNNING:
-            self._run_never_started(now, request, positive_or_none(event.retry_after))
+            self._handle_unstarted_run(now, request, positive_or_none(event.retry_after))
             return
         if event.outcome in (Outcome.CANCELLED, Outcome.ABANDONED) and not request.answered:
-            # its caller has left without notice, or it had ended before: an answer does no harm then
+            # its caller left without notice, or the run had already ended; an answer does no harm
             self._lifecycle.actions.append(FailRequest(request.id))
         if request.state is not RequestState.REUSING:
             state.callers.record_completion()
             state.health.lag_detector.record_run_end()
         self._lifecycle.finish(now, request)
 
-    def _run_never_started(self, now: float, request: Request, retry_after: float | None) -> None:
-        """Reject a run that found no server like any other request; its key is free for a later attempt.
+    def _handle_unstarted_run(self, now: float, request: Request, retry_after: float | None) -> None:
+        """Reject a request whose run never started, and release its key for a later attempt.
 
-        Where its runner says when to come back, something other than load kept it, and none is learned from
-        it.  Guards against pools of servers that are all full or down.  Risk: a runner that is wrong.
+        This handles pools whose backends are all full or down.  If the runner gives a retry-after, something
+        other than load kept the run from starting, so admission control does not count it.  A runner that
+        wrongly reports a run as not started allows a second execution.
         """
         request.may_have_run = False
         if retry_after is None:
@@ -221,10 +229,10 @@
         if request.answered:
             self._lifecycle.finish(now, request)
         else:
-            minimum = retry_after or 0.0
-            self._lifecycle.reject(now, request, no_retry_elsewhere=False, min_retry_after=minimum)
+            min_retry_after = retry_after or 0.0
+            self._lifecycle.reject(now, request, no_retry_elsewhere=False, min_retry_after=min_retry_after)
 
-    def _call_finished(self, now: float, request: Request, event: events.CallFinished) -> None:
+    def _handle_call_finished(self, now: float, request: Request, event: events.CallFinished) -> None:
         self.state.downstream.record(now, event)
         if event.outcome is Outcome.OK:
             self._lifecycle.call_succeeded(now, request)
--- a/shelfhaven/decision/events.py
+++ b/shelfhaven/decision/events.py
@@ -1,7 +1,7 @@
-"""Events that the host of a controller reports to it.  Types only: no policy lives here.
+"""Events that the host of a controller reports to it.
 
-Times are seconds on the host's clock, memory is in kilobytes, request ids are opaque numbers.  An optional
-value is None where the caller did not tell it.
+This module defines data types only.  Times are seconds on the host's clock, memory is in kilobytes, and
+request ids are opaque numbers.  An optional value is None if the caller did not send it.
 """
 
 from __future__ import annotations
@@ -19,11 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request has been read; it is owed one final answer.
-
-    `budget` is how long its caller still waits, `age` how long ago it reached the machine, `work_hint` its
-    expected work, `original_id` the retained request that it repeats, and `start_within` how long its run may
-    take to begin.
+    """A request has been read and must get exactly one final answer.
+
+    Attributes:
+        budget: seconds that its caller still waits.
+        age: seconds since the request reached this machine.
+        work_hint: the work that its caller expects it to need.
+        original_id: id of the retained request of which it is a duplicate.
+        start_within: seconds from now within which its run must start.
     """
 
     request_id: int
@@ -43,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """A run, or the reuse of another run's answer, is over.
+    """A run, or the wait of a duplicate for its original's answer, has ended.
 
-    `retry_after` comes with a run that something other than load kept from starting: seconds until its runner
-    may take it.
+    `retry_after` is set if something other than load kept the run from starting: seconds until its runner may
+    accept it.
     """
 
     request_id: int
@@ -57,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallNeeded:
-    """A running request cannot go on without a downstream call; it waits off the cores."""
+    """A running request needs a downstream call; it uses no core while it waits."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallFinished:
-    """A downstream call is over; the request goes on by itself only after `Outcome.OK`."""
+    """A downstream call has ended; only after `Outcome.OK` does the request continue without an action."""
 
     request_id: int
     outcome: Outcome
@@ -73,21 +76,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The caller has stopped waiting; no answer is owed."""
+    """The caller has stopped waiting; the request needs no answer any more."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """The process is stopped after `time_left` seconds."""
+    """The server starts to drain; the process will be stopped after `time_left` seconds."""
 
     time_left: float
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set is due; `gauges` are in the order of `Settings.gauges`."""
+    """A timer set by the controller has expired; `gauges` holds values in the order of `Settings.gauges`."""
 
     token: int
     gauges: tuple[float, ...] = ()
--- a/shelfhaven/decision/request.py
+++ b/shelfhaven/decision/request.py
@@ -1,10 +1,10 @@
-"""One request that was read here, the states that it goes through, and the table of all of them.
+"""A request, the states that it goes through, and the table of all requests.
 
     NEW -> QUEUED -> RUNNING <-> CALL_NEEDED <-> CALLING      (a downstream call)
-                     RUNNING -> SUSPENDED -> RUNNING          (its work is kept)
+                     RUNNING -> SUSPENDED -> RUNNING          (keeps its work)
            QUEUED -> REUSING                                  (a duplicate waits for its original's answer)
 
-Every state but NEW may end in FINISHED.  The table keeps the number of requests in each state and the memory
+Any state except NEW may be followed by FINISHED.  The table counts the requests in each state and the memory
 that they use.
 """
 
@@ -22,20 +22,20 @@
 
 
 class RequestState(IntEnum):
-    """Where a request is.  An integer, as the table counts requests by it on every change."""
+    """State of a request.  An integer, as the table uses it as the index of its counts on every change."""
 
     QUEUED = 0
-    REUSING = 1  # a duplicate, to be answered from its original
+    REUSING = 1  # a duplicate that waits for its original's answer
     RUNNING = 2
-    CALL_NEEDED = 3  # waits, off the cores, until its downstream call is placed
+    CALL_NEEDED = 3  # uses no core; waits until its downstream call is placed
     CALLING = 4
-    SUSPENDED = 5  # stopped with its work kept; queued to be resumed
+    SUSPENDED = 5  # stopped but keeps its work; queued to be resumed
     FINISHED = 6
     NEW = 7
 
 
 class Request:
-    """One request that was read here.  Times are points on the host's clock, in seconds."""
+    """A request that this server has read.  Times are points on the host's clock, in seconds."""
 
     __slots__ = (
         "answered",
@@ -68,31 +68,31 @@
         self.settings = settings
         self.footprint_kb = positive_or_zero(event.footprint_kb)
         self.work_hint = positive_or_none(event.work_hint)
-        self.original_id = event.original_id or None  # of the request that it repeats
+        self.original_id = event.original_id or None  # set if this is a duplicate
         self.state = RequestState.NEW
-        self.answered = False  # or nobody waits for its answer any more
-        self.may_have_run = False  # it, or the original of which it is a duplicate
-        self.has_duplicates = False  # that wait for its answer
-        self.suspending = False  # its run is being stopped, to be resumed later
+        self.answered = False  # also true once nobody waits for the answer
+        self.may_have_run = False  # this request, or its original if it is a duplicate
+        self.has_duplicates = False  # which wait for its answer
+        self.suspending = False  # its run is being stopped and will be resumed
         self.call_retried = False
-        self.hopeless_on_arrival = False  # its client has waited too long before
-        self.priority_weight = settings.priority_weight  # with the tenant's fraction, once that is known
+        self.hopeless_on_arrival = False  # its client had already waited too long
+        self.priority_weight = settings.priority_weight  # scaled by the tenant's fraction once that is known
 
         self.read_at = now
-        self.arrived_at = now - positive_or_zero(event.age)  # at this machine
-        self.started_at = math.inf  # first
+        self.arrived_at = now - positive_or_zero(event.age)  # when it reached this machine
+        self.started_at = math.inf  # start of its first run
         start_within = positive_or_none(event.start_within)
         self.start_by = math.inf if start_within is None else now + start_within
-        self.due_at = math.inf  # the latest moment for its answer
-        self.objective_at = math.inf  # answers until then earn the full weight
+        self.due_at = math.inf  # latest time for its answer
+        self.objective_at = math.inf  # an answer by then earns the full weight
 
     def set_times(
         self, event: RequestArrived, waited_before: float, stops_at: float, answer_margin: float
     ) -> None:
-        """Set due time and objective of a new request.
+        """Set the due time and the objective of a new request.
 
-        `waited_before` is how long its client waited before this attempt, `stops_at` when the process ends
-        (infinite if not known), `answer_margin` by how much answers go out before they are due.
+        `waited_before` is how long its client had waited before this attempt, `stops_at` is when the process
+        ends (infinite if unknown), and `answer_margin` is how long before its due time an answer is sent.
         """
         settings = self.settings
         budget = positive_or_none(event.budget)
@@ -107,25 +107,25 @@
         self.objective_at = min(self.due_at, self.arrived_at + objective - waited_before)
 
     def worthless_at(self) -> float:
-        """When an answer earns nothing any more.
+        """Return the time after which an answer counts as worthless.
 
-        A class with a late weight keeps that fraction of the time between objective and due time.
+        It is the objective plus the late weight's fraction of the time between objective and due time.
         """
         return self.objective_at + self.settings.late_weight * (self.due_at - self.objective_at)
 
     def decide_by(self, answer_margin: float) -> float:
-        """When a queued request must be decided: in time for its answer, or for the start of its run."""
+        """Return when a queued request is given up: at its due time, or earlier to meet its start limit."""
         return min(self.due_at, self.start_by - answer_margin)
 
 
 class RequestTable:
-    """All requests that are not finished, those that wait to run, and the memory of all."""
+    """All unfinished requests, the queue of those that wait to run, and the memory of all."""
 
     __slots__ = ("_call_load", "_counts", "_memory", "_memory_factors", "by_id", "queue")
 
     def __init__(self, memory: MemoryBudget, running_memory_factor: float, call_load: CallLoad) -> None:
         self.by_id: dict[int, Request] = {}
-        self.queue: dict[int, Request] = {}  # queued and suspended ones, in the order in which they came
+        self.queue: dict[int, Request] = {}  # queued and suspended requests, in insertion order
         self._memory = memory
         self._call_load = call_load
         self._counts = [0] * len(RequestState)
@@ -137,21 +137,21 @@
 
     @property
     def running(self) -> int:
-        """Requests that run on the cores."""
+        """Number of requests that run on the cores."""
         return self._counts[RequestState.RUNNING]
 
     @property
     def at_calls(self) -> int:
-        """Requests that wait for a downstream call, or for one to be placed; they return to the cores."""
+        """Number of requests whose call is needed or in progress; they will return to the cores."""
         return self._counts[RequestState.CALL_NEEDED] + self._counts[RequestState.CALLING]
 
     def add(self, now: float, request: Request) -> None:
-        """Take a new request into the table, outside the queue."""
+        """Add a new request to the table, but not to the queue."""
         self.by_id[request.id] = request
-        self.move(now, request, RequestState.QUEUED)
+        self.transition(now, request, RequestState.QUEUED)
 
-    def move(self, now: float, request: Request, state: RequestState) -> None:
-        """Change a request's state, and with it the counts, the memory in use and the load of calls."""
+    def transition(self, now: float, request: Request, state: RequestState) -> None:
+        """Change a request's state and update the counts, the memory in use and the call load."""
         previous = request.state
         self._counts[previous] -= 1
         self._memory.used_kb -= self._memory_factors[previous] * request.footprint_kb
@@ -164,7 +164,7 @@
         request.state = state
 
     def record_duplicate(self, duplicate: Request) -> None:
-        """Note at its original, if that has not ended, that a duplicate waits for the same answer."""
+        """Mark the original, unless it has finished, as having a duplicate that waits for its answer."""
         if duplicate.original_id is None:
             return
         original = self.by_id.get(duplicate.original_id)
@@ -172,9 +172,9 @@
             original.has_duplicates = True
 
     def remove(self, now: float, request: Request) -> None:
-        """Forget a request; a call of it that is still in progress counts as abandoned."""
+        """Finish a request and remove it; its call, if still in progress, counts as abandoned."""
         if request.state is RequestState.CALLING:
             self._call_load.abandon(now)
-        self.move(now, request, RequestState.FINISHED)
+        self.transition(now, request, RequestState.FINISHED)
         self.queue.pop(request.id, None)
         del self.by_id[request.id]
--- a/shelfhaven/decision/server_state.py
+++ b/shelfhaven/decision/server_state.py
@@ -1,4 +1,4 @@
-"""The parts that decide for one server, and the questions that concern several of them."""
+"""The components of one server's controller, and the checks that involve several of them."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from shelfhaven.decision.settings import Settings
 from shelfhaven.decision.tenant_quota import TenantQuotas
 
-# Answers go out so many ticks before they are due: timers may fire late by one, and the answer has a way to
-# go.
+# Ticks before the due time at which an answer is sent: a timer may fire one tick late, and the answer takes
+# time to reach the caller.
 ANSWER_MARGIN_TICKS = 3
 
 
 class ServerState:
-    """All parts of one server's controller, made from its settings."""
+    """All components of one server's controller, built from its settings."""
 
     __slots__ = (
         "admission",
@@ -66,13 +66,13 @@
         self.shutdown = GracefulShutdown(settings)
 
     def has_free_slot(self) -> bool:
-        """Whether one more request may run at all."""
+        """Whether one more request may run now."""
         requests = self.requests
         return self.concurrency.has_free_slot(requests.running, requests.at_calls, self.warm_up.progress)
 
     def may_run(self, request: Request) -> bool:
-        """Whether memory, and the calls in progress where it needs one of its own, allow its run."""
-        if request.may_have_run:  # it has its memory, and its call behind it
+        """Whether memory, and for a request that needs a call also the calls in progress, allow it to run."""
+        if request.may_have_run:  # suspended: it holds its memory, and its call counts as made
             return self.memory.has_capacity_for(0.0)
         additional_kb = (self.settings.running_memory_factor - 1) * request.footprint_kb
         if not self.memory.has_capacity_for(additional_kb):
--- a/shelfhaven/decision/settings.py
+++ b/shelfhaven/decision/settings.py
@@ -1,6 +1,7 @@
-"""Settings of one server, as its host passes them to the controller.  Types only: no policy lives here.
+"""Settings of one server, as its host passes them to the controller.
 
-Times are seconds, memory is in kilobytes.  A class or tenant is known by its position in its tuple.
+This module defines data types only.  Times are in seconds, memory is in kilobytes.  A class or tenant is
+identified by its position in its tuple.
 """
 
 from __future__ import annotations
@@ -10,35 +11,35 @@
 
 
 class RetrySafety(Enum):
-    """What a second execution of a request would do."""
+    """Whether a request may be executed twice."""
 
     IDEMPOTENT = "safe"
-    IDEMPOTENCY_KEY = "keyed"  # at most once for each key, within the key's time to live
+    IDEMPOTENCY_KEY = "keyed"  # executed at most once per key, within the key's time to live
     NOT_IDEMPOTENT = "unsafe"
 
 
 class CancelMode(Enum):
-    """What stopping a running request does, where it can be stopped."""
+    """What stopping a running request does, or that it cannot be stopped."""
 
     NONE = "none"
     ABORT = "abort"
-    SUSPEND = "pause"  # its work is kept and it may be resumed
+    SUSPEND = "pause"  # keeps its work, so that it can be resumed
 
 
 class LoadAdvertisement(Enum):
-    """How callers understand the advertised load value."""
+    """How callers interpret the advertised load value."""
 
     NONE = "none"
     LEVEL = "level"  # the load, from 0 to 1
-    WINDOW = "window"  # requests that each caller may have outstanding
-    WEIGHT = "weight"  # this server's weight among the others
+    WINDOW = "window"  # how many requests each caller may have outstanding
+    WEIGHT = "weight"  # this server's weight in load balancing
 
 
 class DownstreamKind(Enum):
     """What requests call while they run."""
 
     NONE = "none"
-    SHARED = "shared"  # one dependency that all servers share
+    SHARED = "shared"  # a dependency that all servers of the tier share
     TIER = "tier"  # a tier of servers that sheds its own load
 
 
@@ -52,9 +53,10 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    ABANDONED = "moot"  # its caller had left, or it had ended already: nothing was executed
+    ABANDONED = "moot"  # its caller had left, or it had already ended: nothing was executed
 
 
+# Outcomes that guarantee that nothing was executed.
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ABANDONED})
 
 
@@ -63,16 +65,16 @@
     """One class of request.
 
     Attributes:
-        latency_objective: seconds within which an answer earns the full weight.
-        deadline: seconds after which an answer is of no use to anybody.
+        latency_objective: time within which an answer earns the full weight.
+        deadline: time after which an answer is of no use to anyone.
         priority_weight: what an answer within the objective is worth.
-        late_weight: the fraction of that which an answer earns between objective and deadline.
-        retry_safety: what a second execution would do.
-        key_ttl: seconds for which an idempotency key counts, from the arrival of its request.
-        calls_downstream: whether its runs place downstream calls.
-        weight_without_call: the fraction of its weight that a request earns whose downstream call was left
-            out; 0 where the call cannot be left out.
-        objective_stretch: how many times a request's own work hint is added to its objective.
+        late_weight: fraction of that weight that an answer between objective and deadline earns.
+        retry_safety: whether a request may be executed twice.
+        key_ttl: time for which an idempotency key is valid, from the arrival of its request.
+        calls_downstream: whether runs of this class place downstream calls.
+        weight_without_call: fraction of its weight that a request earns if its downstream call is skipped;
+            0 if the call cannot be skipped.
+        objective_stretch: multiple of a request's work hint that is added to its objective.
     """
 
     latency_objective: float
@@ -88,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """One tenant: its quota in requests a second over the whole fleet, and its share of the traffic."""
+    """One tenant: its quota in requests per second across the fleet, and its share of the traffic."""
 
     quota_per_s: float
     share: float = 0.0
@@ -96,44 +98,45 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a server is told when it starts.
+    """Settings that a server gets when it starts.
 
     Attributes:
-        cores: cores of this server.
+        cores: number of cores of this server.
         memory_kb: memory for requests and keys.
         classes: classes of request.
-        tenants: tenants with a quota.
-        replicas: servers of this tier listed at the start, this one included.
-        callers: callers that hold connections to this server.
-        tier: how many tiers stand before this one.
-        tick: longest time by which a timer may fire late.
-        running_memory_factor: memory of a running request over that of a queued one.
+        tenants: tenants that have a quota.
+        replicas: number of servers of this tier listed at the start, including this one.
+        callers: number of callers that hold connections to this server.
+        tier: number of tiers in front of this one.
+        tick: longest delay with which a timer may fire.
+        running_memory_factor: memory of a running request, relative to that of a queued one.
         key_kb: memory of one entry in the key table.
         starts_cold: whether the server starts at less than full speed.
-        cold_speed: share of full speed of a cold server.
-        warm_up: seconds until a cold server runs at full speed.
-        crash_concurrency_factor: running requests for each core at which a warm server crashes.
-        crash_window: seconds over which that concurrency is averaged.
-        drain_grace: seconds after the start of a drain in which arrivals may still run.
-        answer_slack: seconds after its due time by which an answer is not yet late.
-        passes_deadline: whether callers tell how long they wait.
-        notifies_cancellation: whether callers tell that they have stopped waiting.
-        marks_retries: whether callers mark further attempts.
-        weight_by_work: whether a request's weight counts for each second of its work.
-        over_quota_weight: what a request beyond its tenant's quota earns of its weight.
-        allows_retry_after: whether callers take a retry-after.
-        max_retry_after: longest retry-after that callers take.
+        cold_speed: speed of a cold server, as a fraction of full speed.
+        warm_up: time until a cold server reaches full speed.
+        crash_concurrency_factor: running requests per core at which a warmed-up server crashes.
+        crash_window: time over which that concurrency is averaged.
+        drain_grace: time after the start of a drain during which new arrivals may still run.
+        answer_slack: time after its due time within which an answer does not yet count as late.
+        passes_deadline: whether callers send how long they still wait.
+        notifies_cancellation: whether callers report that they have stopped waiting.
+        marks_retries: whether callers mark attempts after the first.
+        weight_by_work: whether a request's weight counts per second of its work, not per request.
+        over_quota_weight: fraction of its weight that a request beyond its tenant's quota earns.
+        allows_retry_after: whether callers accept a retry-after.
+        max_retry_after: longest retry-after that callers accept.
         cancel_mode: what stopping a running request does.
-        load_advertisement: how callers understand the advertised load.
+        load_advertisement: how callers interpret the advertised load.
         readiness: whether health checks decide which servers are listed.
         downstream: what requests call while they run.
-        downstream_capacity: calls that the shared dependency takes from this server at a time, on average.
-        downstream_window: seconds over which that average is taken.
-        abandoned_call_occupancy: seconds that a call given up here still occupies the dependency.
-        connection_idle_timeout: seconds after which callers close an idle connection.
-        connection_cost: what an open connection costs.
-        handshake_cost: what a new connection costs.
-        gauges: names of the gauges that come with timers, in their order.
+        downstream_capacity: average number of concurrent calls that the shared dependency accepts from this
+            server.
+        downstream_window: time over which that average is taken.
+        abandoned_call_occupancy: time for which a call abandoned here still occupies the dependency.
+        connection_idle_timeout: time after which callers close an idle connection.
+        connection_cost: cost of an open connection.
+        handshake_cost: cost of a new connection.
+        gauges: names of the gauges whose values come with timers, in the same order.
     """
 
     cores: int
--- a/tests/decision/test_call_load.py
+++ b/tests/decision/test_call_load.py
@@ -1,4 +1,4 @@
-"""Load on a shared dependency, summed over a window."""
+"""Load on a shared dependency, summed over a sliding window."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from shelfhaven.decision.call_load import CallLoad
 
 
-def test_the_pieces_of_call_load_cover_no_more_than_the_window() -> None:
+def test_buckets_cover_no_more_than_the_window() -> None:
     load = CallLoad(5.0, 0.2)
-    for turn in range(10_000):
-        change = load.finish if turn % 2 else load.begin
-        change(turn * 0.05)
-    assert len(load.pieces) <= 5.0 / averages.CONTROL_INTERVAL_S + 2
+    for index in range(10_000):
+        change = load.finish if index % 2 else load.begin
+        change(index * 0.05)
+    assert len(load.buckets) <= 5.0 / averages.CONTROL_INTERVAL_S + 2
     assert load.call_seconds(1000.0) == 0.0
 
 
-def test_call_seconds_are_those_of_the_window() -> None:
+def test_call_seconds_count_only_calls_within_the_window() -> None:
     load = CallLoad(5.0, 0.2)
     load.begin(0.0)
     load.begin(1.0)
@@ -30,6 +30,6 @@
     load.begin(0.0)
     load.abandon(1.0)
     load.finish(1.0)
-    assert load.calls == 1
+    assert load.in_progress == 1
     assert load.call_seconds(2.0) == 1.5
-    assert load.calls == 0
+    assert load.in_progress == 0
--- a/tests/decision/test_controller.py
+++ b/tests/decision/test_controller.py
@@ -1,4 +1,4 @@
-"""Requests from arrival to answer, on event sequences worked out by hand."""
+"""Requests from arrival to answer, in hand-written event sequences."""
 
 from __future__ import annotations
 
@@ -22,34 +22,34 @@
 from tests.decision.world import JobState, World
 
 
-def test_a_call_that_returns_to_full_cores_suspends_the_newest_run_which_resumes_before_new_ones() -> None:
+def test_a_call_returning_to_full_cores_suspends_the_newest_run_which_resumes_first() -> None:
     calls = (ClassSettings(1.0, 3.0, calls_downstream=True), PAYMENT)
     for cancel_mode, suspends in ((CancelMode.SUSPEND, True), (CancelMode.NONE, False)):
         world = World(settings(downstream=DownstreamKind.TIER, classes=calls, cancel_mode=cancel_mode))
-        caller, old = world.arrive(0, 1), world.arrive(0, 2)
-        world.need_call(caller)
+        calling, older = world.arrive(0, 1), world.arrive(0, 2)
+        world.need_call(calling)
         world.now += 0.01
         newest = world.arrive(1, 3, key=1)
         waiting = world.arrive(0, 4)
-        world.end_call(caller, Outcome.OK)
+        world.end_call(calling, Outcome.OK)
         world.settle()
         assert world.on_core() == (2 if suspends else 3)
         assert (newest.state == JobState.SUSPENDED) is suspends
-        world.finish(old)
+        world.finish(older)
         assert newest.state == JobState.RUNNING
         assert waiting.state == JobState.QUEUED
         world.finish(newest)
-        assert (caller.state, waiting.state) == (JobState.RUNNING, JobState.RUNNING)
+        assert (calling.state, waiting.state) == (JobState.RUNNING, JobState.RUNNING)
 
 
-def test_a_suspended_request_is_failed_not_rejected_when_its_time_is_up() -> None:
+def test_a_suspended_request_past_its_due_time_is_failed_not_rejected() -> None:
     calls = (ClassSettings(1.0, 3.0, calls_downstream=True), PAYMENT)
     world = World(settings(downstream=DownstreamKind.TIER, classes=calls, cancel_mode=CancelMode.SUSPEND))
-    caller, _ = world.arrive(0, 1), world.arrive(0, 2)
-    world.need_call(caller)
+    calling, _ = world.arrive(0, 1), world.arrive(0, 2)
+    world.need_call(calling)
     world.now += 0.01
     newest = world.arrive(1, 3, key=1)
-    world.end_call(caller, Outcome.OK)
+    world.end_call(calling, Outcome.OK)
     world.settle()
     assert newest.state == JobState.SUSPENDED
     world.advance(3.1)
@@ -57,7 +57,7 @@
     assert FailRequest(newest.id) in world.actions
 
 
-def test_running_work_past_its_due_time_is_failed_and_stopped_where_it_can_be() -> None:
+def test_a_run_past_its_due_time_is_failed_and_stopped() -> None:
     world = World(settings(cancel_mode=CancelMode.SUSPEND))
     job = world.arrive(0, 1)
     world.advance(3.0)
@@ -66,16 +66,16 @@
 
 
 @pytest.mark.parametrize("cancel_mode", [CancelMode.ABORT, CancelMode.SUSPEND])
-def test_a_run_past_its_objective_is_stopped_where_a_late_answer_earns_nothing(
+def test_an_idempotent_run_past_its_objective_is_stopped_if_a_late_answer_earns_nothing(
     cancel_mode: CancelMode,
 ) -> None:
     world = World(settings(cancel_mode=cancel_mode))
     world.controller.state.concurrency.idle_fraction = 0.0
-    unkeyed, keyed = world.arrive(0, 1), world.arrive(1, 2, key=1)
+    idempotent, keyed = world.arrive(0, 1), world.arrive(1, 2, key=1)
     world.advance(1.1)
-    assert unkeyed.answers == 1
-    assert actions_of(world.actions, StopRun) == [StopRun(unkeyed.id)]
-    assert keyed.answers == 0, "it may have had its effect: its answer is waited for"
+    assert idempotent.answers == 1
+    assert actions_of(world.actions, StopRun) == [StopRun(idempotent.id)]
+    assert keyed.answers == 0, "its effect may have happened, so its answer is awaited"
 
 
 @pytest.mark.parametrize(
@@ -86,7 +86,7 @@
         (CancelMode.ABORT, READ, 0.9),
     ],
 )
-def test_a_run_past_its_objective_goes_on_where_it_cannot_be_stopped_still_earns_or_cores_idle(
+def test_a_run_past_its_objective_continues_if_it_cannot_be_stopped_still_earns_or_cores_are_idle(
     cancel_mode: CancelMode, cls: ClassSettings, idle_fraction: float
 ) -> None:
     world = World(settings(cancel_mode=cancel_mode, classes=(cls,)))
@@ -96,23 +96,23 @@
     assert (job.runs, job.answers) == (1, 0)
 
 
-def test_nothing_that_arrives_after_the_drain_grace_runs_and_all_is_answered_before_the_stop() -> None:
+def test_after_the_drain_grace_no_arrival_runs_and_all_are_answered_before_the_stop() -> None:
     world = World(settings())
     running = world.arrive(0, 1)
     world.drain(2.0)
     assert not world.healthy
     world.advance(0.5)
-    within = world.arrive(0, 1)
-    assert within.state == JobState.RUNNING
-    world.finish(within)
+    within_grace = world.arrive(0, 1)
+    assert within_grace.state == JobState.RUNNING
+    world.finish(within_grace)
     world.advance(0.6)
-    after = world.arrive(0, 1)  # a core is free, but the grace of one second is over
-    assert (after.answers, after.runs) == (1, 0)
+    after_grace = world.arrive(0, 1)  # a core is free, but the grace of one second has passed
+    assert (after_grace.answers, after_grace.runs) == (1, 0)
     world.advance(0.899)
     assert running.answers == 1
 
 
-def test_abandoned_and_cancelled_runs_free_the_core_and_owe_at_most_one_answer() -> None:
+def test_abandoned_and_cancelled_runs_free_the_core_and_are_answered_once() -> None:
     for outcome in (Outcome.ABANDONED, Outcome.CANCELLED):
         world = World(settings())
         job, other, waiting = (world.arrive(0, 1) for _ in range(3))
@@ -140,33 +140,38 @@
     assert actions_of(again, StartRun)
 
 
-def test_a_run_rejected_with_retry_after_passes_it_on_and_does_not_count_as_load() -> None:
-    waits = []
+def test_a_retry_after_from_the_runner_is_passed_on_and_does_not_count_as_load() -> None:
+    relative_waits = []
     for retry_after, maximum in ((0.0, 30.0), (5.0, 30.0), (5.0, 2.0)):
         controller = Controller(settings(max_retry_after=maximum), 1)
         controller.on_event(0.0, ServerStarted())
-        for n in range(1, 40):
-            controller.on_event(n * 0.1, RequestArrived(n, 1, n, 1.0))
+        for request_id in range(1, 40):
+            controller.on_event(request_id * 0.1, RequestArrived(request_id, 1, request_id, 1.0))
             (rejected,) = actions_of(
-                controller.on_event(n * 0.1 + 0.05, RunFinished(n, Outcome.REJECTED, 0.0, retry_after)),
+                controller.on_event(
+                    request_id * 0.1 + 0.05, RunFinished(request_id, Outcome.REJECTED, 0.0, retry_after)
+                ),
                 RejectRequest,
             )
         assert isinstance(rejected, RejectRequest)
         assert rejected.retry_after == min(
             retry_after, maximum
-        ), "no headway is known yet: only what the runner says"
-        waits.append(controller.state.admission.relative_wait)
-    assert waits[0] > 0
-    assert waits[1:] == [0.0, 0.0]
-    silent = Controller(settings(allows_retry_after=False), 1)
-    silent.on_event(0.0, ServerStarted())
-    silent.on_event(0.0, RequestArrived(1, 1, 1, 1.0))
-    (rejected,) = actions_of(silent.on_event(0.1, RunFinished(1, Outcome.REJECTED, 0.0, 5.0)), RejectRequest)
+        ), "no headway is known yet, so only the runner's value counts"
+        relative_waits.append(controller.state.admission.relative_wait)
+    assert relative_waits[0] > 0
+    assert relative_waits[1:] == [0.0, 0.0]
+    controller_without_retry_after = Controller(settings(allows_retry_after=False), 1)
+    controller_without_retry_after.on_event(0.0, ServerStarted())
+    controller_without_retry_after.on_event(0.0, RequestArrived(1, 1, 1, 1.0))
+    (rejected,) = actions_of(
+        controller_without_retry_after.on_event(0.1, RunFinished(1, Outcome.REJECTED, 0.0, 5.0)),
+        RejectRequest,
+    )
     assert isinstance(rejected, RejectRequest)
-    assert rejected.retry_after == 0.0, "the settings allow none"
+    assert rejected.retry_after == 0.0, "the settings allow no retry-after"
 
 
-def test_a_run_that_never_started_and_whose_caller_has_left_answers_nobody() -> None:
+def test_an_unstarted_run_whose_caller_has_left_is_not_answered() -> None:
     controller = Controller(settings(), 1)
     controller.on_event(0.0, ServerStarted())
     controller.on_event(0.0, RequestArrived(1, 0, 1, 1.0))
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over generated event sequences, checked by the oracle of tests/decision/world.py."""
+"""Generated event sequences, checked against the four rules by the oracle in tests/decision/world.py."""
 
 from __future__ import annotations
 
@@ -61,35 +61,35 @@
         downstream_window=5.0,
         load_advertisement=LoadAdvertisement.WEIGHT,
     ),
-    "no advice": _settings(allows_retry_after=False, weight_by_work=True),
+    "no retry-after": _settings(allows_retry_after=False, weight_by_work=True),
     "small": _settings(memory_kb=260.0, cores=1),
 }
 FAILURES = [Outcome.ERROR, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET]
 
-OPS = one_of(
+OPERATIONS = one_of(
     tuples(
         just("arrive"), integers(0, 2), integers(1, 4), integers(1, 3),
         sampled_from([0.0, 0.0, 0.3, 2.0]), sampled_from([0.0, 0.01, 0.4, 3.5]),
     ),
     tuples(just("advance"), sampled_from([0.0, 0.01, 0.1, 0.7, 4.1]), booleans()),
     tuples(just("finish"), integers(0, 5), booleans()),
-    tuples(just("call"), integers(0, 5)),
-    tuples(just("answer"), integers(0, 5), sampled_from([Outcome.OK, *FAILURES])),
+    tuples(just("need call"), integers(0, 5)),
+    tuples(just("end call"), integers(0, 5), sampled_from([Outcome.OK, *FAILURES])),
     tuples(just("cancel"), integers(0, 5)),
     tuples(just("drain"), sampled_from([0.0, 0.5, 3.0])),
-    tuples(just("noise"), integers(0, 4)),
+    tuples(just("stray event"), integers(0, 4)),
 )  # fmt: skip
 
 
-def _pick(world: World, number: int, *states: JobState) -> Job | None:
+def _pick(world: World, index: int, *states: JobState) -> Job | None:
     jobs = [job for job in world.jobs.values() if job.state in states]
-    return jobs[number % len(jobs)] if jobs else None
+    return jobs[index % len(jobs)] if jobs else None
 
 
-def play(world: World, ops: list[tuple]) -> None:  # type: ignore[type-arg]
-    """Drive one sequence, then let everything come to its end."""
+def _run_sequence(world: World, ops: list[tuple]) -> None:  # type: ignore[type-arg]
+    """Run one generated sequence, then wait until every request has ended."""
     for op in ops:
-        _step(world, op)
+        _run_operation(world, op)
         world.settle()
         if world.stop_at is not None and world.now >= world.stop_at:
             return
@@ -99,33 +99,33 @@
         assert job.answers == 1 or job.cancelled
 
 
-def _step(world: World, op: tuple) -> None:  # type: ignore[type-arg]
-    """One generated step; it is left out where no request is in a state for it."""
+def _run_operation(world: World, op: tuple) -> None:  # type: ignore[type-arg]
+    """Run one generated operation, unless no request is in a suitable state for it."""
     name, args = op[0], op[1:]
-    job = _pick(world, args[0], *STATES[name]) if name in STATES else None
+    job = _pick(world, args[0], *SUITABLE_STATES[name]) if name in SUITABLE_STATES else None
     if name == "arrive":
-        cls, caller, key, budget, age = args
-        world.arrive(cls, caller, key if cls == 1 else 0, budget, age)
+        class_index, caller, key, budget, age = args
+        world.arrive(class_index, caller, key if class_index == 1 else 0, budget, age)
     elif name == "advance":
         world.advance(args[0], stall=args[1] and args[0] < 1)
     elif name == "drain" and world.drain_at is None:
         world.drain(args[0])
-    elif name == "noise":
-        world.send(NOISE[args[0]])
+    elif name == "stray event":
+        world.send(STRAY_EVENTS[args[0]])
     elif job is not None and name == "finish":
         world.finish(job, Outcome.OK if args[1] else Outcome.ERROR)
-    elif job is not None and name == "call":
+    elif job is not None and name == "need call":
         world.need_call(job)
-    elif job is not None and name == "answer":
+    elif job is not None and name == "end call":
         world.end_call(job, args[1])
     elif job is not None and name == "cancel":
         world.cancel(job)
 
 
-STATES = {
+SUITABLE_STATES = {
     "finish": (JobState.RUNNING, JobState.REUSING),
-    "call": (JobState.RUNNING,),
-    "answer": (JobState.CALLING,),
+    "need call": (JobState.RUNNING,),
+    "end call": (JobState.CALLING,),
     "cancel": (
         JobState.QUEUED,
         JobState.RUNNING,
@@ -137,7 +137,8 @@
     ),
 }
 NAN = float("nan")
-NOISE: list[Event] = [
+# events of requests and timers that the controller does not know
+STRAY_EVENTS: list[Event] = [
     RunFinished(99999, Outcome.ABANDONED, -1.0),
     CallFinished(99999, Outcome.TIMEOUT, NAN),
     CallNeeded(99999),
@@ -148,13 +149,13 @@
 
 @pytest.mark.parametrize("variant", VARIANTS)
 @settings(max_examples=60)
-@given(ops=lists(OPS, max_size=60))
-def test_rules_hold_whatever_comes(variant: str, ops: list[tuple]) -> None:  # type: ignore[type-arg]
-    play(World(VARIANTS[variant]), ops)
+@given(ops=lists(OPERATIONS, max_size=60))
+def test_rules_hold_for_any_sequence_of_events(variant: str, ops: list[tuple]) -> None:  # type: ignore[type-arg]
+    _run_sequence(World(VARIANTS[variant]), ops)
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
-def test_rules_hold_in_a_long_flood(variant: str) -> None:
+def test_rules_hold_under_sustained_overload(variant: str) -> None:
     world = World(VARIANTS[variant])
     for n in range(600):
         world.arrive(n % 3, n % 4, n % 7 if n % 3 == 1 else 0)
@@ -167,15 +168,15 @@
             world.drain(1.5)
         if world.stop_at is not None and world.now >= world.stop_at:
             break
-    kinds = {type(action) for action in world.actions}
-    assert {StartRun, RejectRequest, RetainKey} <= kinds
+    action_types = {type(action) for action in world.actions}
+    assert {StartRun, RejectRequest, RetainKey} <= action_types
 
 
-def test_bad_numbers_neither_raise_nor_break_a_rule() -> None:
+def test_invalid_numbers_raise_no_error_and_break_no_rule() -> None:
     world = World(VARIANTS["window"])
     for value in (NAN, -1.0, float("inf"), -float("inf"), 1e30):
-        for cls in range(3):
-            event = RequestArrived(10_000 + world.next_id, cls, 1, value, 0, value, value, value)
+        for class_index in range(3):
+            event = RequestArrived(10_000 + world.next_id, class_index, 1, value, 0, value, value, value)
             world.next_id += 1
             actions = world.controller.on_event(world.now, event)
             assert any(isinstance(action, StartRun | RejectRequest | SetTimer) for action in actions)
@@ -184,12 +185,12 @@
 
 
 def test_the_same_events_give_the_same_actions() -> None:
-    logs = []
+    action_lists = []
     for _ in range(2):
         world = World(VARIANTS["window"], seed=5)
         for n in range(80):
             world.arrive(n % 3, n % 4, n % 5 if n % 3 == 1 else 0)
             world.advance(0.03)
-        logs.append(world.actions)
-    assert logs[0] == logs[1]
-    assert len(logs[0]) > 120
+        action_lists.append(world.actions)
+    assert action_lists[0] == action_lists[1]
+    assert len(action_lists[0]) > 120
