--- a/shelfhaven/decision/admission.py
+++ b/shelfhaven/decision/admission.py
@@ -113,10 +113,10 @@
         """How often the mean weight of arrivals for their work is to be doubled to come to this request's."""
         classes = zip(self._class_mix, self._settings.classes, self._runs.run_means, strict=True)
         mean = sum(
-            fraction * self._runs.weight_for_work(class_settings.priority_weight, run)
+            fraction * self._runs.weight_per_second(class_settings.priority_weight, run)
             for fraction, class_settings, run in classes
         )
-        weight = self._runs.weight_for_work(request.priority_weight, self._runs.expected_run(request))
+        weight = self._runs.weight_per_second(request.priority_weight, self._runs.expected_run(request))
         ratio = weight / mean if mean > 0 else 1.0
         return min(MAX_DOUBLINGS, math.log2(max(1.0, ratio)))
 
--- a/shelfhaven/decision/arrival.py
+++ b/shelfhaven/decision/arrival.py
@@ -31,7 +31,7 @@
         waited_before = 0.0
     request.set_times(event, waited_before, state.shutdown.stops_at, state.answer_margin)
     if waited_before > 0:
-        answer_at = now + state.runs.expected_run(request)
+        answer_at = now + state.run_estimates.expected_run(request)
         request.hopeless_on_arrival = answer_at > request.worthless_at()
 
     tenant_fraction = state.tenants.record_arrival(now, event.tenant)
@@ -68,4 +68,4 @@
         return True
     if state.health.stall_detector.stalled:
         return True
-    return state.health.unhealthy and now + state.runs.expected_run(request) > request.objective_at
+    return state.health.unhealthy and now + state.run_estimates.expected_run(request) > request.objective_at
--- a/shelfhaven/decision/control_loop.py
+++ b/shelfhaven/decision/control_loop.py
@@ -38,7 +38,7 @@
         state = self._state
         snapshot = LoadSnapshot(
             admitted_share=state.admission.admitted_share,
-            concurrency=state.concurrency.limit + state.requests.at_calls,
+            concurrency=state.concurrency.limit + state.requests.waiting_for_calls,
             completion_rate=state.callers.completion_rate,
             heaviest_caller_share=state.callers.heaviest_share,
             spare_fraction=state.concurrency.spare_fraction(),
@@ -53,7 +53,7 @@
         running = state.requests.running
         state.warm_up.update(now)
         state.health.stall_detector.update(
-            now, running, state.concurrency.slots(), state.runs.longest_mean_run()
+            now, running, state.concurrency.slots(), state.run_estimates.longest_mean_run()
         )
         is_idle = not state.requests.queue and running < state.settings.cores
         state.health.lag_detector.update(is_idle)
@@ -65,7 +65,7 @@
             state.admission.record_queue_wait(now, request)
         if not state.requests.queue:
             state.admission.record_empty_queue()
-        state.downstream.forget_old_calls(now)
+        state.downstream.decay_rejected_fraction(now)
         state.admission.update_share(state.downstream.pressure())
 
     def _update_concurrency(self, now: float, gauges: dict[str, float]) -> None:
--- a/shelfhaven/decision/controller.py
+++ b/shelfhaven/decision/controller.py
@@ -88,7 +88,7 @@
 
     def estimates(self) -> LearnedEstimates:
         """Return the measurements of runs and calls that may outlive the process, as plain values."""
-        estimates = self.state.runs
+        estimates = self.state.run_estimates
         return LearnedEstimates(
             run_means=tuple(estimates.run_means),
             hint_means=tuple(estimates.hint_means),
@@ -99,7 +99,7 @@
 
     def restore_estimates(self, estimates: LearnedEstimates, weight: float) -> None:
         """Use the estimates of a previous incarnation as a prior of the given weight (0 to 1)."""
-        self.state.runs.restore(estimates, weight)
+        self.state.run_estimates.restore(estimates, weight)
         self.state.downstream.restore(estimates.call_mean, estimates.call_deviation, weight)
 
     # Start, arrivals and drain
@@ -162,7 +162,7 @@
 
     def _give_up_at(self, request: Request) -> float:
         """Return when a request is given up: while it waits to run, possibly before its due time."""
-        if request.state in (RequestState.QUEUED, RequestState.REUSING):
+        if request.state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL):
             return request.decide_by(self.answer_margin)
         return request.due_at
 
@@ -204,14 +204,14 @@
             self._lifecycle.requeue_suspended(now, request)
             return
         if event.outcome is Outcome.OK and request.state in (RequestState.RUNNING, RequestState.CALLING):
-            state.runs.record_run(request, positive_or_zero(event.duration))
+            state.run_estimates.record_run(request, positive_or_zero(event.duration))
         if event.outcome in RUN_NEVER_STARTED and request.state is RequestState.RUNNING:
             self._handle_unstarted_run(now, request, positive_or_none(event.retry_after))
             return
         if event.outcome in (Outcome.CANCELLED, Outcome.ABANDONED) and not request.answered:
             # its caller left without notice, or the run had already ended; an answer does no harm
             self._lifecycle.actions.append(FailRequest(request.id))
-        if request.state is not RequestState.REUSING:
+        if request.state is not RequestState.AWAITING_ORIGINAL:
             state.callers.record_completion()
             state.health.lag_detector.record_run_end()
         self._lifecycle.finish(now, request)
--- a/shelfhaven/decision/downstream.py
+++ b/shelfhaven/decision/downstream.py
@@ -127,7 +127,7 @@
         elif event.outcome is not Outcome.ERROR and event.outcome not in NEVER_RAN:
             self.load.abandon(now)  # the dependency may still be working on it
 
-    def forget_old_calls(self, now: float) -> None:
+    def decay_rejected_fraction(self, now: float) -> None:
         """Slowly forget rejections when no call has finished for a while, so that calls are tried again."""
         if now - self._last_call_finished_at > RATE_WINDOW_S:
             self.rejected_fraction -= self.rejected_fraction * CONTROL_INTERVAL_S / RATE_WINDOW_S
--- a/shelfhaven/decision/queueing.py
+++ b/shelfhaven/decision/queueing.py
@@ -62,7 +62,7 @@
 
     def _tardiness_cost(self, now: float, request: Request) -> float:
         run = max(self._run_estimates.expected_run(request), MIN_RUN_S)
-        weight = self._run_estimates.weight_for_work(request.priority_weight, run)
+        weight = self._run_estimates.weight_per_second(request.priority_weight, run)
         if now + QUEUED_RUN_MULTIPLE * run > request.objective_at:
             return weight * request.settings.late_weight
         slack = max(0.0, request.objective_at - now - run)
--- a/shelfhaven/decision/request.py
+++ b/shelfhaven/decision/request.py
@@ -2,7 +2,7 @@
 
     NEW -> QUEUED -> RUNNING <-> CALL_NEEDED <-> CALLING      (a downstream call)
                      RUNNING -> SUSPENDED -> RUNNING          (keeps its work)
-           QUEUED -> REUSING                                  (a duplicate waits for its original's answer)
+           QUEUED -> AWAITING_ORIGINAL                        (a duplicate waits for its original's answer)
 
 Any state except NEW may be followed by FINISHED.  The table counts the requests in each state and the memory
 that they use.
@@ -25,7 +25,7 @@
     """State of a request.  An integer, as the table uses it as the index of its counts on every change."""
 
     QUEUED = 0
-    REUSING = 1  # a duplicate that waits for its original's answer
+    AWAITING_ORIGINAL = 1  # a duplicate that waits for its original's answer
     RUNNING = 2
     CALL_NEEDED = 3  # uses no core; waits until its downstream call is placed
     CALLING = 4
@@ -131,7 +131,7 @@
         self._counts = [0] * len(RequestState)
         self._memory_factors = [running_memory_factor] * len(RequestState)
         self._memory_factors[RequestState.QUEUED] = 1.0
-        self._memory_factors[RequestState.REUSING] = 1.0
+        self._memory_factors[RequestState.AWAITING_ORIGINAL] = 1.0
         self._memory_factors[RequestState.FINISHED] = 0.0
         self._memory_factors[RequestState.NEW] = 0.0
 
@@ -141,7 +141,7 @@
         return self._counts[RequestState.RUNNING]
 
     @property
-    def at_calls(self) -> int:
+    def waiting_for_calls(self) -> int:
         """Number of requests whose call is needed or in progress; they will return to the cores."""
         return self._counts[RequestState.CALL_NEEDED] + self._counts[RequestState.CALLING]
 
--- a/shelfhaven/decision/request_lifecycle.py
+++ b/shelfhaven/decision/request_lifecycle.py
@@ -70,7 +70,7 @@
 
     def answer_from_original(self, now: float, request: Request) -> None:
         """Answer a duplicate from its original, which may have run; the duplicate itself never runs."""
-        self._requests.transition(now, request, RequestState.REUSING)
+        self._requests.transition(now, request, RequestState.AWAITING_ORIGINAL)
         request.may_have_run = True
         if not self._memory.has_capacity_for(0.0):
             self.give_up(now, request)
@@ -151,7 +151,7 @@
     def abandon(self, now: float, request: Request) -> None:
         """Finish a request that nobody waits for, or stop its run if possible and no duplicate needs it."""
         request.answered = True
-        if request.state in (RequestState.QUEUED, RequestState.REUSING, RequestState.SUSPENDED):
+        if request.state in (RequestState.QUEUED, RequestState.AWAITING_ORIGINAL, RequestState.SUSPENDED):
             self.finish(now, request)
         elif request.state is RequestState.RUNNING and not request.has_duplicates and self._can_stop_runs:
             self.actions.append(StopRun(request.id))
--- a/shelfhaven/decision/run_estimates.py
+++ b/shelfhaven/decision/run_estimates.py
@@ -40,7 +40,7 @@
         """Return the mean run time of the slowest class."""
         return max(self.run_means)
 
-    def weight_for_work(self, weight: float, run: float) -> float:
+    def weight_per_second(self, weight: float, run: float) -> float:
         """Return the weight per second of work; with `Settings.weight_by_work`, `weight` is that already."""
         return weight if self._weight_by_work else weight / max(run, MIN_RUN_S)
 
--- a/shelfhaven/decision/server_state.py
+++ b/shelfhaven/decision/server_state.py
@@ -38,7 +38,7 @@
         "keys",
         "memory",
         "requests",
-        "runs",
+        "run_estimates",
         "scheduler",
         "settings",
         "shutdown",
@@ -54,11 +54,11 @@
         self.attempt_limits = AttemptLimits()
         self.memory = MemoryBudget(settings.memory_kb)
         self.keys = KeyTable(self.memory, settings.key_kb)
-        self.runs = RunEstimates(settings)
-        self.downstream = DownstreamCalls(settings, self.runs)
+        self.run_estimates = RunEstimates(settings)
+        self.downstream = DownstreamCalls(settings, self.run_estimates)
         self.requests = RequestTable(self.memory, settings.running_memory_factor, self.downstream.load)
-        self.admission = AdmissionControl(settings, self.runs)
-        self.scheduler = Scheduler(self.runs, self.answer_margin)
+        self.admission = AdmissionControl(settings, self.run_estimates)
+        self.scheduler = Scheduler(self.run_estimates, self.answer_margin)
         self.concurrency = ConcurrencyLimit(settings)
         self.warm_up = WarmUp(settings)
         self.health = HealthMonitor(settings)
@@ -68,7 +68,9 @@
     def has_free_slot(self) -> bool:
         """Whether one more request may run now."""
         requests = self.requests
-        return self.concurrency.has_free_slot(requests.running, requests.at_calls, self.warm_up.progress)
+        return self.concurrency.has_free_slot(
+            requests.running, requests.waiting_for_calls, self.warm_up.progress
+        )
 
     def may_run(self, request: Request) -> bool:
         """Whether memory, and for a request that needs a call also the calls in progress, allow it to run."""
@@ -78,4 +80,4 @@
         if not self.memory.has_capacity_for(additional_kb):
             return False
         needs_call = request.settings.calls_downstream and not request.settings.weight_without_call
-        return not needs_call or self.concurrency.allows_call(self.requests.at_calls)
+        return not needs_call or self.concurrency.allows_call(self.requests.waiting_for_calls)
--- a/tests/decision/test_downstream.py
+++ b/tests/decision/test_downstream.py
@@ -251,9 +251,9 @@
         calls.record(10.0, CallFinished(1, Outcome.REJECTED, 0.1))
     assert calls.pressure() == pytest.approx(1 / 0.3, rel=0.01)
     before = calls.pressure()
-    calls.forget_old_calls(13.0)
+    calls.decay_rejected_fraction(13.0)
     assert calls.pressure() == before
-    calls.forget_old_calls(13.1)
+    calls.decay_rejected_fraction(13.1)
     assert calls.pressure() == pytest.approx(before * (1 - 0.1 / 3))
 
 
--- a/tests/decision/test_health.py
+++ b/tests/decision/test_health.py
@@ -25,7 +25,7 @@
         job = world.arrive(0, 1, age=age)
         world.advance(gap)
         if job.state == JobState.RUNNING:
-            world.finish(job, spent=0.1)
+            world.finish(job, duration=0.1)
 
 
 def test_event_loop_lag_at_a_low_pace_makes_the_server_unhealthy_a_flood_does_not() -> None:
--- a/tests/decision/test_idempotency.py
+++ b/tests/decision/test_idempotency.py
@@ -16,10 +16,10 @@
     world = World(settings())
     original = world.arrive(1, 1, key=7)
     duplicate = world.arrive(1, 2, key=7)
-    assert (original.state, duplicate.state) == (JobState.RUNNING, JobState.REUSING)
+    assert (original.state, duplicate.state) == (JobState.RUNNING, JobState.AWAITING_ORIGINAL)
     world.finish(duplicate)
     world.finish(original)
-    assert world.arrive(1, 2, key=7).state == JobState.REUSING
+    assert world.arrive(1, 2, key=7).state == JobState.AWAITING_ORIGINAL
     world.advance(5.5)
     world.settle()
     assert world.arrive(1, 2, key=7).state == JobState.RUNNING  # its time to live is over
--- a/tests/decision/test_load_advertisement.py
+++ b/tests/decision/test_load_advertisement.py
@@ -20,7 +20,7 @@
         for n in range(60):
             job = world.arrive(0, 1 if n % 10 else n)
             world.advance(0.1, cpu=cpu)
-            world.finish(job, spent=0.1)
+            world.finish(job, duration=0.1)
         advertised[cpu] = world.advertised or 0.0
     assert 0 < advertised[1.0] < 0.5 * advertised[0.2]
 
--- a/tests/decision/test_rules.py
+++ b/tests/decision/test_rules.py
@@ -123,13 +123,13 @@
 
 
 SUITABLE_STATES = {
-    "finish": (JobState.RUNNING, JobState.REUSING),
+    "finish": (JobState.RUNNING, JobState.AWAITING_ORIGINAL),
     "need call": (JobState.RUNNING,),
     "end call": (JobState.CALLING,),
     "cancel": (
         JobState.QUEUED,
         JobState.RUNNING,
-        JobState.REUSING,
+        JobState.AWAITING_ORIGINAL,
         JobState.CALLING,
         JobState.CALL_NEEDED,
         JobState.STOPPING,
--- a/tests/decision/test_run_estimates.py
+++ b/tests/decision/test_run_estimates.py
@@ -29,8 +29,8 @@
 
 
 def test_a_weight_is_per_request_or_per_second_of_work() -> None:
-    assert RunEstimates(settings()).weight_for_work(2.0, 0.5) == 4.0
-    assert RunEstimates(settings(weight_by_work=True)).weight_for_work(2.0, 0.5) == 2.0
+    assert RunEstimates(settings()).weight_per_second(2.0, 0.5) == 4.0
+    assert RunEstimates(settings(weight_by_work=True)).weight_per_second(2.0, 0.5) == 2.0
 
 
 def test_a_previous_incarnation_is_blended_in_by_its_weight() -> None:
--- a/tests/decision/world.py
+++ b/tests/decision/world.py
@@ -51,7 +51,7 @@
     RUNNING = "running"
     CALL_NEEDED = "call needed"
     CALLING = "calling"
-    REUSING = "reusing"  # waits for its original's answer
+    AWAITING_ORIGINAL = "awaiting original"  # waits for its original's answer
     STOPPING = "stopping"  # asked to stop, but still running
     SUSPENDED = "suspended"
     FINISHED = "finished"
@@ -172,13 +172,13 @@
         self.now = end
         self._check_rules()
 
-    def finish(self, job: Job, outcome: Outcome = Outcome.OK, spent: float = 0.2) -> None:
+    def finish(self, job: Job, outcome: Outcome = Outcome.OK, duration: float = 0.2) -> None:
         """End a run, or the wait of a duplicate."""
-        assert job.state in (JobState.RUNNING, JobState.REUSING)
+        assert job.state in (JobState.RUNNING, JobState.AWAITING_ORIGINAL)
         if outcome in (Outcome.OK, Outcome.ERROR) and not job.cancelled and not job.answers:
             job.answers += 1
         job.state = JobState.FINISHED
-        self.send(events.RunFinished(job.id, outcome, spent))
+        self.send(events.RunFinished(job.id, outcome, duration))
 
     def need_call(self, job: Job) -> None:
         """Let a running request reach its downstream call."""
@@ -200,7 +200,7 @@
     def cancel(self, job: Job) -> None:
         """Let the caller stop waiting."""
         job.cancelled = True
-        if job.state in (JobState.QUEUED, JobState.REUSING, JobState.SUSPENDED):
+        if job.state in (JobState.QUEUED, JobState.AWAITING_ORIGINAL, JobState.SUSPENDED):
             job.state = JobState.FINISHED
             self.send(events.RequestCancelled(job.id))
         elif job.state in (JobState.CALL_NEEDED, JobState.CALLING):
@@ -219,7 +219,7 @@
 
     def memory(self) -> float:
         """Return the kilobytes in use by requests and retained keys."""
-        factors = {JobState.QUEUED: 1.0, JobState.REUSING: 1.0, JobState.FINISHED: 0.0}
+        factors = {JobState.QUEUED: 1.0, JobState.AWAITING_ORIGINAL: 1.0, JobState.FINISHED: 0.0}
         running_factor = self.settings.running_memory_factor
         requests_kb = sum(
             job.footprint_kb * factors.get(job.state, running_factor) for job in self.jobs.values()
@@ -267,7 +267,7 @@
                 self._apply_to_keys(job, class_settings, action)
             case AnswerFromOriginal():
                 assert job.original_id, "answered from an original that it does not have"
-                job.state = JobState.REUSING
+                job.state = JobState.AWAITING_ORIGINAL
             case PlaceCall():
                 self._place_call(job, class_settings, action.timeout)
             case SkipCall():
@@ -283,7 +283,7 @@
             assert self._runs_with_original(job) == 0 or may_run_again, "rejected a request that has run"
             assert action.retry_after <= self.settings.max_retry_after
             job.state = JobState.FINISHED if job.state is not JobState.RUNNING else JobState.RUNNING
-        elif job.state in (JobState.QUEUED, JobState.REUSING, JobState.SUSPENDED):
+        elif job.state in (JobState.QUEUED, JobState.AWAITING_ORIGINAL, JobState.SUSPENDED):
             job.state = JobState.FINISHED
         elif job.state in (JobState.CALL_NEEDED, JobState.CALLING):
             job.state = JobState.STOPPING
