--- a/shelfhaven/decision/__init__.py
+++ b/shelfhaven/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Overload control of one server as a pure state machine: events in, actions out, time passed in."""
+"""Overload control of one server as a pure state machine: events and the time in, actions out."""
--- a/shelfhaven/decision/arrival.py
+++ b/shelfhaven/decision/arrival.py
@@ -1,4 +1,4 @@
-"""What becomes of an arrival: admitted, rejected, or answered from the original that it repeats."""
+"""The decision about an arrival: admit it, reject it, or answer it from the original that it duplicates."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 
     ADMIT = "admit"
     ANSWER_FROM_ORIGINAL = "answer from original"
-    REJECT = "reject"  # another server may take it
-    REJECT_EVERYWHERE = "reject everywhere"  # a retry elsewhere would be of no use
+    REJECT = "reject"  # the caller may retry on another server
+    REJECT_EVERYWHERE = "reject everywhere"  # a retry on another server would be rejected as well
 
 
 def new_request(now: float, event: RequestArrived, state: ServerState) -> Request:
-    """Count an arrival in all measurements and take its request into the table, outside the queue."""
+    """Create the request of an arrival, record it in all statistics and add it to the request table.
+
+    The request is not queued yet.
+    """
     settings = state.settings.classes[event.class_index]
     caller = state.callers.record_arrival(event.caller, now)
     request = Request(event, settings, caller, now)
-    waited_before = state.attempt_limits.waited_before(
+    prior_wait = state.attempt_limits.estimate_prior_wait(
         event, caller, settings.deadline, state.settings.marks_retries
     )
-    if state.concurrency.has_spare_cores():  # then old attempts are served all the same
-        waited_before = 0.0
-    request.set_times(event, waited_before, state.shutdown.stops_at, state.answer_margin)
-    if waited_before > 0:
+    if state.concurrency.has_spare_cores():  # there is capacity to run old attempts too
+        prior_wait = 0.0
+    request.set_times(event, prior_wait, state.shutdown.stops_at, state.answer_margin)
+    if prior_wait > 0:
         answer_at = now + state.runs.expected_run(request)
         request.hopeless_on_arrival = answer_at > request.worthless_at()
 
@@ -44,7 +47,7 @@
 
 
 def judge(now: float, request: Request, state: ServerState) -> Verdict:
-    """Decide about a new request."""
+    """Decide what to do with a new request."""
     has_key = request.settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY
     original_id = request.original_id
     if has_key and original_id is not None and not state.keys.was_rejected(original_id):
@@ -53,13 +56,17 @@
         return Verdict.REJECT
     if request.hopeless_on_arrival:
         return Verdict.REJECT_EVERYWHERE
-    if state.admission.should_shed(request, state.callers.protection(request.caller)):
+    if state.admission.should_shed(request, state.callers.rejection_threshold(request.caller)):
         return Verdict.REJECT_EVERYWHERE
     return Verdict.ADMIT
 
 
 def _must_reject(now: float, request: Request, state: ServerState) -> bool:
-    """Whether it is rejected at any admitted share: no time, no memory, draining, stalled or unhealthy."""
+    """Return whether to reject a request whatever the admitted share is.
+
+    The reasons are: too little time left, arrival after the grace of a drain, too little memory, a stalled
+    server, and, on an unhealthy server, an expected run that ends after the latency objective.
+    """
     if request.decide_by(state.answer_margin) <= now:
         return True
     if state.shutdown.arrived_too_late(request.arrived_at):
--- a/shelfhaven/decision/caller_table.py
+++ b/shelfhaven/decision/caller_table.py
@@ -1,9 +1,9 @@
-"""The table of callers: headway counters and Retry-After.
+"""The caller table: headway counters and Retry-After.
 
-The ordinary path follows "Rate Management and the Kiss-o'-Death Packet" (D. L. Mills and others, NTP
-documentation, rate.html).  Each arrival of a caller charges its headway counter with the minimum average
-headway, and time drains the counter.  A caller whose counter is above the ceiling runs ahead of its fair
-share and is the first to be rejected in overload.  Every rejection tells the caller when to come back: after
+The normal path follows "Rate Management and the Kiss-o'-Death Packet" (D. L. Mills and others, NTP
+documentation, rate.html).  Each admitted request adds the minimum average headway to its caller's headway
+counter, and the counter decreases with time.  A caller whose counter is above the ceiling sends faster than
+its fair share and is rejected first in overload.  Each rejection tells the caller when to come back: after
 the minimum average headway, or after the caller's own mean interval if that is longer.
 
 A caller is a router in front of this server, not a tenant (docs/design.md has the measurements).
@@ -16,35 +16,36 @@
 from shelfhaven.decision.averages import CONTROL_INTERVAL_S, RATE_WINDOW_S, RECENT_GAIN
 from shelfhaven.decision.settings import Settings
 
-# Headways by which a caller may run ahead of its fair share: the longest burst that the source allows.
+# Ceiling of the headway counter, in minimum average headways: the longest burst that rate.html allows.
 CEILING_HEADWAYS = 8.0
 
-# Entries: "a few hundred" in the source.  A longer table was measured and changes nothing.
+# Maximum number of entries: rate.html has "a few hundred".  Measurements with a longer table showed no
+# difference.
 MAX_CALLERS = 600
 
-# Fraction of the heaviest caller's share that is forgotten at each arrival, so that it follows about the last
-# 64 arrivals.
+# Fraction by which the heaviest caller's share decays with each arrival, so that it covers about the last 64
+# arrivals.
 HEAVIEST_SHARE_DECAY = 1 / 64
 
-# Rejections owed, beside one, that protect a caller with an empty counter; admission control counts each
-# doubling of a request's weight for its work as much.
-PROTECTION_STEP = 3.0
+# Increase of the rejection threshold for a caller with an empty headway counter.  Admission control adds the
+# same for each doubling of a request's weight for its work.
+REJECTION_THRESHOLD_STEP = 3.0
 
 
 class Caller:
-    """One caller: its headway counter and how often it comes."""
+    """One caller: its headway counter and the statistics of its arrivals."""
 
     __slots__ = ("counter", "last_arrival", "mean_gap", "unfamiliar_limits")
 
     def __init__(self, now: float) -> None:
-        self.counter = 0.0  # seconds
-        self.mean_gap = 0.0  # seconds between arrivals; 0 until the second one
+        self.counter = 0.0  # headway counter, in seconds
+        self.mean_gap = 0.0  # seconds between arrivals; 0 until the second arrival
         self.last_arrival = now
-        self.unfamiliar_limits = 0  # attempts in a row whose time limit `AttemptLimits` did not know
+        self.unfamiliar_limits = 0  # consecutive attempts whose time limit is not common in `AttemptLimits`
 
 
 class CallerTable:
-    """Callers, most recently used first, with headway counters (leaky buckets)."""
+    """Callers with their headway counters (leaky buckets), the most recently active caller first."""
 
     __slots__ = (
         "completed",
@@ -58,29 +59,29 @@
 
     def __init__(self) -> None:
         self.entries: OrderedDict[int, Caller] = OrderedDict()
-        self.completion_rate = 0.0  # requests a second
-        self.completed = 0  # requests since the rate was last updated
-        self.mean_counter = 0.0  # of callers as they arrive
-        self.mean_gap = 0.0  # seconds between arrivals, of all callers together
+        self.completion_rate = 0.0  # requests per second
+        self.completed = 0  # requests since the last update of the rate
+        self.mean_counter = 0.0  # mean headway counter of recent arrivals' callers
+        self.mean_gap = 0.0  # seconds between arrivals of any caller
         self.last_arrival = 0.0
-        self.heaviest_share = 1.0  # fraction of the arrivals that come from the heaviest caller
+        self.heaviest_share = 1.0  # fraction of arrivals that come from the heaviest caller
 
     def minimum_average_headway(self) -> float:
-        """The mean interval, in seconds, at which a caller's fair share of the completions comes."""
+        """Return the mean interval, in seconds, between the completions of one caller's fair share."""
         return len(self.entries) / self.completion_rate if self.completion_rate > 0 else 0.0
 
     def record_completion(self) -> None:
-        """Count a request that was completed."""
+        """Count a completed request."""
         self.completed += 1
 
     def update_completion_rate(self) -> None:
-        """Average the completions of the last control interval into the rate."""
+        """Update the completion rate with the completions of the last control interval."""
         rate = self.completed / CONTROL_INTERVAL_S
         self.completion_rate += CONTROL_INTERVAL_S / RATE_WINDOW_S * (rate - self.completion_rate)
         self.completed = 0
 
     def record_arrival(self, key: int, now: float) -> Caller:
-        """Count an arrival: drain the caller's counter by the time passed and put the caller first."""
+        """Record an arrival: decay the caller's counter and move the caller to the front of the table."""
         caller = self.entries.get(key)
         if caller is None:
             caller = self._add(key, now)
@@ -95,29 +96,30 @@
         return caller
 
     def is_over_ceiling(self, caller: Caller) -> bool:
-        """Whether the caller runs further ahead of its fair share than the ceiling allows."""
+        """Return whether the caller's headway counter is above the ceiling."""
         return caller.counter > CEILING_HEADWAYS * self.minimum_average_headway()
 
     def charge(self, caller: Caller) -> None:
-        """Charge one admitted request; above the ceiling nothing more is charged, as in the source."""
+        """Charge the caller for an admitted request, except above the ceiling, as in rate.html."""
         if not self.is_over_ceiling(caller):
             caller.counter += self.minimum_average_headway()
 
-    def protection(self, caller: Caller) -> float:
-        """Rejections that must be owed before one goes to this caller.
+    def rejection_threshold(self, caller: Caller) -> float:
+        """Return how many rejections must be due before a request of this caller is rejected.
 
-        None are needed for a caller over the ceiling; else the more, the emptier its counter is against the
-        mean counter of arriving callers.
+        It is 0 for a caller over the ceiling.  Otherwise it is higher the emptier the caller's counter is
+        relative to the mean counter of arriving callers.
         """
         if self.is_over_ceiling(caller):
             return 0.0
         emptiness = 1 - caller.counter / self.mean_counter if self.mean_counter > 0 else 1.0
-        return 1 + PROTECTION_STEP * max(0.0, emptiness)
+        return 1 + REJECTION_THRESHOLD_STEP * max(0.0, emptiness)
 
     def retry_after(self, caller: Caller, minimum: float, settings: Settings) -> float:
-        """Seconds after which a rejected caller should come back; 0 where callers take no such advice.
+        """Return the seconds after which a rejected caller should come back; 0 if callers ignore Retry-After.
 
-        The larger of the minimum average headway and the caller's own mean interval, but at least `minimum`.
+        It is the largest of the minimum average headway, the caller's own mean interval and `minimum`, up to
+        the longest Retry-After in the settings.
         """
         if not settings.allows_retry_after:
             return 0.0
@@ -125,6 +127,7 @@
         return min(interval, settings.max_retry_after)
 
     def _add(self, key: int, now: float) -> Caller:
+        """Add a caller; if the table is full, the least recently active caller is evicted."""
         if len(self.entries) >= MAX_CALLERS:
             self.entries.popitem(last=True)
         caller = Caller(now)
--- a/shelfhaven/decision/control_loop.py
+++ b/shelfhaven/decision/control_loop.py
@@ -1,4 +1,4 @@
-"""The control loop: what is measured and adjusted in each control interval, and in which order."""
+"""The control loop: what is updated in each control interval, and in which order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ControlLoop:
-    """Lets every part follow the measurements of the last interval."""
+    """Updates the server's state from the measurements of each control interval."""
 
     __slots__ = ("_advertiser", "_state")
 
@@ -17,7 +17,7 @@
         self._advertiser = LoadAdvertiser(state.settings)
 
     def tick(self, now: float, gauges: dict[str, float]) -> list[Action]:
-        """One iteration.  Later steps use what earlier ones have adjusted."""
+        """Run one iteration.  The order matters: later steps use the results of earlier ones."""
         state = self._state
         state.callers.update_completion_rate()
         state.keys.expire(now)
@@ -34,7 +34,7 @@
         return actions
 
     def advertise_load(self, now: float) -> list[Action]:
-        """The advertised load, if it has changed."""
+        """Return the action that advertises the load, or no action if the value has hardly changed."""
         state = self._state
         snapshot = LoadSnapshot(
             admitted_share=state.admission.admitted_share,
@@ -49,6 +49,7 @@
         return [] if advertisement is None else [advertisement]
 
     def _update_health(self, now: float) -> bool:
+        """Update warm-up and health; return whether the health has changed."""
         state = self._state
         running = state.requests.running
         state.warm_up.update(now)
@@ -74,5 +75,5 @@
         slots_taken_for = 0.0
         if state.requests.running >= state.concurrency.slots():
             slots_taken_for = now - stall_detector.slots_taken_since
-        work_waits = bool(state.requests.queue) and not stall_detector.stalled
-        state.concurrency.adjust(gauges, slots_taken_for, work_waits, state.warm_up.progress)
+        has_waiting_work = bool(state.requests.queue) and not stall_detector.stalled
+        state.concurrency.adjust(gauges, slots_taken_for, has_waiting_work, state.warm_up.progress)
--- a/shelfhaven/decision/estimates.py
+++ b/shelfhaven/decision/estimates.py
@@ -1,4 +1,4 @@
-"""What a controller has measured, as plain values: for its next incarnation, and for the log."""
+"""Snapshots of a controller's measurements, for its next incarnation and for the log."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedEstimates:
-    """Means by class, and of downstream calls.  Seconds; 0 where nothing has been measured.
+    """Mean durations of runs by class, and of downstream calls.  In seconds; 0 if nothing has been measured.
 
     Attributes:
-        run_means: mean run of each class.
+        run_means: mean run time of each class.
         hint_means: mean work hint of each class.
-        hinted_run_means: mean run of those requests of each class that came with a hint.
-        call_mean: mean duration of good downstream calls.
-        call_deviation: their mean deviation.
+        hinted_run_means: mean run time of the requests of each class that carried a work hint.
+        call_mean: mean duration of successful downstream calls.
+        call_deviation: mean deviation of these durations.
     """
 
     run_means: tuple[float, ...]
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What a controller believes just now, for the log.
+    """The current estimates and limits of a controller, for the log.
 
     Attributes:
         admitted_share: fraction of arrivals that are admitted.
-        queue_wait: recent waits in the queue, as a multiple of the wait aimed at.
-        concurrency_limit: requests that may run at a time.
-        event_loop_lag: seconds that requests lately waited unread.
-        warm_up_progress: share of full speed, 1 once warm.
-        idle_fraction: fraction of the cores that was idle at the last sample.
-        callers: callers in the table.
-        heaviest_caller_share: share of the arrivals that came from the heaviest caller.
+        queue_wait: mean of recent queue waits, as a multiple of the target wait.
+        concurrency_limit: number of requests that may run at the same time.
+        event_loop_lag: mean time, in seconds, that recent requests waited before they were read.
+        warm_up_progress: fraction of full speed, 1 once the server is warm.
+        idle_fraction: fraction of the cores that was idle at the last gauge reading.
+        callers: number of callers in the table.
+        heaviest_caller_share: fraction of arrivals that come from the heaviest caller.
     """
 
     admitted_share: float
--- a/shelfhaven/decision/graceful_shutdown.py
+++ b/shelfhaven/decision/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: until when arrivals may still run, and when everything must be answered."""
+"""Graceful shutdown: until when arrivals may still run, and by when all requests must be answered."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class GracefulShutdown:
-    """The times of a drain; all lie in the infinite future until it starts."""
+    """The points in time of a drain; all are infinite until the drain starts."""
 
     __slots__ = ("_grace", "_replicas", "advertises_closed_at", "started_at", "stops_at")
 
@@ -18,25 +18,26 @@
         self._grace = settings.drain_grace
         self._replicas = settings.replicas
         self.started_at = math.inf
-        self.stops_at = math.inf  # the process ends
-        self.advertises_closed_at = math.inf  # callers are told to send nothing more
+        self.stops_at = math.inf  # when the process ends
+        self.advertises_closed_at = math.inf  # when callers are told to stop sending
 
     @property
     def started(self) -> bool:
-        """Whether the server drains."""
+        """Whether the drain has started."""
         return self.started_at != math.inf
 
     def start(self, now: float, time_left: float, idle_fraction: float) -> None:
-        """The process is stopped after the time left.
+        """Start the drain of a process that ends in `time_left` seconds.
 
-        Callers are told at once only if the other servers, as busy as this one, have capacity for its part:
-        callers learn late of a server that replaces it.
+        Callers are told at once only if the other servers, assumed to be as busy as this one, can take over
+        its load.  Otherwise they are told after the grace: a server that replaces this one becomes known to
+        callers only after a delay.
         """
         self.started_at = now
         self.stops_at = now + positive_or_zero(time_left)
-        others_are_full = idle_fraction * self._replicas < 1 + SPARE_IDLE_FRACTION
-        self.advertises_closed_at = now + (self._grace if others_are_full else 0.0)
+        others_lack_capacity = idle_fraction * self._replicas < 1 + SPARE_IDLE_FRACTION
+        self.advertises_closed_at = now + (self._grace if others_lack_capacity else 0.0)
 
     def arrived_too_late(self, arrived_at: float) -> bool:
-        """Whether a request came after the grace and may not run."""
+        """Return whether a request arrived after the grace and must not run."""
         return arrived_at > self.started_at + self._grace
--- a/shelfhaven/decision/health.py
+++ b/shelfhaven/decision/health.py
@@ -1,8 +1,9 @@
-"""Signs of an unhealthy server, whatever the cause, and the warm-up of a cold one.
+"""Detection of an unhealthy server, whatever the cause, and the warm-up after a cold start.
 
-Two detectors: the server stalls (all cores are taken and nothing ends), or its event loop lags (requests lie
-unread) at a low pace.  They guard against hangs and against slow, throttled or stolen cores.  Risk: where all
-servers are slow at once all become unhealthy; so health returns by itself.
+There are two detectors.  One finds stalls: all cores are taken and no run ends.  The other finds event-loop
+lag (requests wait to be read) that comes with a low event rate.  They guard against hangs and against slow,
+throttled or stolen cores.  Risk: if all servers become slow at once, all become unhealthy; therefore an
+unhealthy server recovers by itself.
 """
 
 from __future__ import annotations
@@ -11,27 +12,27 @@
 from shelfhaven.decision.inputs import positive_or_zero
 from shelfhaven.decision.settings import Settings
 
-# Mean runs with all cores taken and no progress that count as a stall.  With six independent runs chance gets
-# there once in 8,000 times.
+# Length of a stall in mean run times.  Six independent runs all last this long by chance once in 8,000 times.
 STALL_MEAN_RUNS = 1.5
 
-# A stall lasts at least so many seconds, so that short pauses of the machine pass.
+# Minimum length of a stall in seconds, so that short pauses of the machine are tolerated.
 MIN_STALL_S = 0.5
 
-# Event-loop lag, as a fraction of the shortest latency objective, above which the server is unhealthy, and
-# below which it is healthy again.
+# Event-loop lag, as a fraction of the shortest latency objective, above which the server becomes unhealthy,
+# and below which it becomes healthy again.
 UNHEALTHY_LAG_FRACTION = 0.4
 HEALTHY_LAG_FRACTION = 0.15
 
-# Fraction of the best pace seen here below which a lag counts: a flood keeps the pace up, slow cores cannot.
-SLOW_PACE_FRACTION = 0.5
+# Fraction of the peak event rate below which a lag counts.  The event rate stays high in a flood of requests,
+# but not with slow cores.
+LOW_RATE_FRACTION = 0.5
 
-# Seconds over which the best pace is forgotten, far longer than a spell of slowness.
-BEST_PACE_WINDOW_S = 60.0
+# Time constant, in seconds, with which the peak event rate decays; far longer than a temporary slowdown.
+PEAK_RATE_WINDOW_S = 60.0
 
 
 class WarmUp:
-    """The fraction of full speed that a server has reached, at the slowest."""
+    """A lower bound of the fraction of full speed that a server has reached."""
 
     __slots__ = ("_settings", "_started_at", "progress")
 
@@ -41,11 +42,11 @@
         self.progress = settings.cold_speed if settings.starts_cold else 1.0
 
     def start(self, now: float) -> None:
-        """The process has started."""
+        """Record that the process has started."""
         self._started_at = now
 
     def update(self, now: float) -> None:
-        """Let time pass."""
+        """Update the progress, which rises linearly from the cold speed to 1."""
         settings = self._settings
         if settings.starts_cold and settings.warm_up > 0:
             elapsed = now - self._started_at
@@ -54,7 +55,7 @@
 
 
 class StallDetector:
-    """Whether all cores have been taken for long and nothing has ended."""
+    """Detects that all cores have been taken for some time without any progress."""
 
     __slots__ = ("_cores", "_progress_at", "slots_taken_since", "stalled")
 
@@ -65,61 +66,72 @@
         self.stalled = False
 
     def start(self, now: float) -> None:
-        """The process has started."""
+        """Record that the process has started."""
         self._progress_at = now
         self.slots_taken_since = now
 
     def record_progress(self, now: float) -> None:
-        """A run has ended, or come to a downstream call."""
+        """Record that a run has ended or reached a downstream call."""
         self._progress_at = now
 
     def update(self, now: float, running: int, slots: int, longest_mean_run: float) -> None:
-        """Judge anew, once each control interval."""
-        if running < min(self._cores, slots):  # the few that run may all be long ones: no sign
+        """Update the detector; called once per control interval."""
+        if running < min(self._cores, slots):  # with few runs, all of them may happen to be long
             self.slots_taken_since = now
-        quiet = now - max(self._progress_at, self.slots_taken_since)
-        self.stalled = quiet > max(MIN_STALL_S, STALL_MEAN_RUNS * longest_mean_run)
+        without_progress = now - max(self._progress_at, self.slots_taken_since)
+        self.stalled = without_progress > max(MIN_STALL_S, STALL_MEAN_RUNS * longest_mean_run)
 
 
 class LagDetector:
-    """Whether requests lie unread for long although fewer than usual are read and run."""
+    """Detects that requests wait long to be read although the event rate is lower than usual.
 
-    __slots__ = ("_arrivals_and_ends", "_best_pace", "_pace", "_shortest_objective", "lag")
+    Events, for this rate, are arrivals and ends of runs.
+    """
+
+    __slots__ = ("_event_count", "_event_rate", "_peak_rate", "_shortest_objective", "lag")
 
     def __init__(self, settings: Settings) -> None:
         self._shortest_objective = min(cls.latency_objective for cls in settings.classes)
-        self.lag = 0.0  # mean seconds that requests lately waited unread
-        self._arrivals_and_ends = 0  # arrivals and ends of runs since the last update
-        self._pace = 0.0  # of these a second
-        self._best_pace = 0.0
+        self.lag = 0.0  # mean time, in seconds, that recent requests waited before they were read
+        self._event_count = 0  # since the last update
+        self._event_rate = 0.0  # per second
+        self._peak_rate = 0.0
 
     def record_arrival(self, age: float) -> None:
-        """A request was read that reached the machine so long ago."""
+        """Record a request that reached the machine `age` seconds before it was read."""
         self.lag += RECENT_GAIN * (positive_or_zero(age) - self.lag)
-        self._arrivals_and_ends += 1
+        self._event_count += 1
 
     def record_run_end(self) -> None:
-        """A run has ended."""
-        self._arrivals_and_ends += 1
+        """Record that a run has ended."""
+        self._event_count += 1
 
     def update(self, is_idle: bool) -> None:
-        """Average the pace, once each control interval; `is_idle`: cores are free and nothing waits."""
-        if is_idle:  # nothing is measured: forget the lag slowly, so that the server is used again
-            self.lag -= self.lag * CONTROL_INTERVAL_S / RATE_WINDOW_S
-        pace = self._arrivals_and_ends / CONTROL_INTERVAL_S
-        self._pace += CONTROL_INTERVAL_S * (pace - self._pace)
-        self._best_pace = max(self._pace, self._best_pace * (1 - CONTROL_INTERVAL_S / BEST_PACE_WINDOW_S))
-        self._arrivals_and_ends = 0
+        """Update the event rates; called once per control interval.
 
-    def is_slow(self, was_unhealthy: bool) -> bool:
-        """Whether the lag is long and the pace low; to recover, the lag must be far shorter."""
+        `is_idle` tells whether cores are free and no request is queued.
+        """
+        if is_idle:  # there may be no new samples: let the lag decay, so that the server is used again
+            self.lag -= self.lag * CONTROL_INTERVAL_S / RATE_WINDOW_S
+        rate = self._event_count / CONTROL_INTERVAL_S
+        self._event_rate += CONTROL_INTERVAL_S * (rate - self._event_rate)
+        self._peak_rate = max(
+            self._event_rate, self._peak_rate * (1 - CONTROL_INTERVAL_S / PEAK_RATE_WINDOW_S)
+        )
+        self._event_count = 0
+
+    def is_lagging(self, was_unhealthy: bool) -> bool:
+        """Return whether the lag is long while the event rate is low.
+
+        The limit of the lag is far lower on an unhealthy server (hysteresis).
+        """
         fraction = HEALTHY_LAG_FRACTION if was_unhealthy else UNHEALTHY_LAG_FRACTION
-        lags = self.lag > fraction * self._shortest_objective
-        return lags and self._pace < SLOW_PACE_FRACTION * self._best_pace
+        lag_is_long = self.lag > fraction * self._shortest_objective
+        return lag_is_long and self._event_rate < LOW_RATE_FRACTION * self._peak_rate
 
 
 class HealthMonitor:
-    """The health of this server by both detectors."""
+    """The health of this server according to both detectors."""
 
     __slots__ = ("lag_detector", "stall_detector", "unhealthy")
 
@@ -129,8 +141,8 @@
         self.unhealthy = False
 
     def update(self) -> bool:
-        """Judge by the detectors, which were updated before; whether the health has changed."""
-        unhealthy = self.stall_detector.stalled or self.lag_detector.is_slow(self.unhealthy)
+        """Update the health from the detectors, which must be up to date; return whether it has changed."""
+        unhealthy = self.stall_detector.stalled or self.lag_detector.is_lagging(self.unhealthy)
         changed = unhealthy != self.unhealthy
         self.unhealthy = unhealthy
         return changed
--- a/shelfhaven/decision/idempotency.py
+++ b/shelfhaven/decision/idempotency.py
@@ -1,9 +1,9 @@
 """The key table: which requests with an idempotency key are retained, and until when.
 
-A key is retained from its request's admission, before it can run, so that duplicates find it.  A key whose
-request did not run is released.  Whoever looks a key up may still hold the id of a request that was
-rejected at that moment, so rejected ids are remembered for the keys' time to live: such a duplicate is new
-work.
+A key is retained when its request is admitted, before the request can run, so that duplicates find it.  It is
+released if the request did not run.  A duplicate whose key was looked up just before that may still name the
+rejected request as its original.  Therefore the ids of rejected requests are remembered until their keys
+expire, and such a duplicate is treated as new work.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class _KeyExpiry(NamedTuple):
-    """When what is remembered of a request's key is forgotten."""
+    """When the entries of a request's key expire."""
 
     at: float
     request_id: int
 
 
 class KeyTable:
-    """Retained and rejected keys, by the id of their request."""
+    """Retained keys and rejected requests, by request id."""
 
     __slots__ = ("_expiries", "_key_kb", "_memory", "_rejected", "_retained_until")
 
@@ -32,16 +32,16 @@
         self._key_kb = key_kb
         self._retained_until: dict[int, float] = {}
         self._rejected: set[int] = set()
-        self._expiries: list[_KeyExpiry] = []  # a heap, of both kinds
+        self._expiries: list[_KeyExpiry] = []  # a heap, for retained keys and rejected requests alike
 
     def retain(self, request_id: int, until: float) -> None:
-        """Enter a request's key."""
+        """Add a request's key to the table."""
         self._retained_until[request_id] = until
         heapq.heappush(self._expiries, _KeyExpiry(until, request_id))
         self._memory.used_kb += self._key_kb
 
     def release(self, request_id: int) -> bool:
-        """Drop a request's key; whether there was one."""
+        """Remove a request's key from the table; return whether it was there."""
         if self._retained_until.pop(request_id, None) is None:
             return False
         self._memory.used_kb -= self._key_kb
@@ -53,11 +53,11 @@
         heapq.heappush(self._expiries, _KeyExpiry(until, request_id))
 
     def was_rejected(self, request_id: int) -> bool:
-        """Whether a request with a key is known not to have run."""
+        """Return whether a request with a key is known not to have run."""
         return request_id in self._rejected
 
     def expire(self, now: float) -> None:
-        """Forget keys whose time to live is over."""
+        """Remove all entries whose time to live has passed."""
         while self._expiries and self._expiries[0].at <= now:
             expiry = heapq.heappop(self._expiries)
             if self._retained_until.get(expiry.request_id, math.inf) <= expiry.at:
--- a/shelfhaven/decision/inputs.py
+++ b/shelfhaven/decision/inputs.py
@@ -1,7 +1,7 @@
-"""Cleaning of the durations and sizes that events carry.
+"""Validation of the durations and sizes in events.
 
-They come from callers and runners, who may send anything: what is negative, zero, infinite or not a number
-counts as not given.
+These values come from callers and runners and may be anything.  Negative, zero, infinite and NaN values are
+treated as missing.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 def positive_or_none(value: float | None) -> float | None:
-    """The value if it is a positive finite number, else None."""
+    """Return the value if it is positive and finite, else None."""
     if value is not None and 0 < value < math.inf:
         return value
     return None
 
 
 def positive_or_zero(value: float | None) -> float:
-    """The value if it is a positive finite number, else 0: for sums, where nothing given adds nothing."""
+    """Return the value if it is positive and finite, else 0; for sums, where a missing value adds nothing."""
     if value is not None and 0 < value < math.inf:
         return value
     return 0.0
--- a/shelfhaven/decision/memory.py
+++ b/shelfhaven/decision/memory.py
@@ -1,13 +1,13 @@
-"""Memory of requests and retained keys, against the limit that is used by choice."""
+"""The memory budget for requests and retained keys."""
 
 from __future__ import annotations
 
-# Fraction of the memory that is used by choice; the rest absorbs what arrives within one batch.
+# Usable fraction of the memory; the rest is for requests that arrive within one batch.
 USABLE_FRACTION = 0.9
 
 
 class MemoryBudget:
-    """Kilobytes in use by queued and running requests and by retained keys."""
+    """Memory in use by queued and running requests and by retained keys, in kilobytes."""
 
     __slots__ = ("capacity_kb", "used_kb")
 
@@ -16,5 +16,5 @@
         self.used_kb = 0.0
 
     def has_capacity_for(self, additional_kb: float) -> bool:
-        """Whether so much more keeps within the usable fraction."""
+        """Return whether this much more memory fits into the usable fraction."""
         return self.used_kb + additional_kb <= USABLE_FRACTION * self.capacity_kb
--- a/shelfhaven/decision/tenant_quota.py
+++ b/shelfhaven/decision/tenant_quota.py
@@ -1,6 +1,7 @@
-"""Tenant quotas: the fraction of its class's priority weight that a tenant's request is worth.
+"""Tenant quotas: requests of a tenant over its quota earn only a part of their class's priority weight.
 
-A tenant's arrivals at this server are compared with the part of its quota that falls to one server.
+Quotas apply to the whole fleet.  Each server compares a tenant's arrivals with the quota divided by the
+number of replicas.
 """
 
 from __future__ import annotations
@@ -12,20 +13,20 @@
 
 
 class TenantQuotas:
-    """Arrival rate and quota of each tenant."""
+    """The arrival rate and the quota of each tenant."""
 
     __slots__ = ("_last_arrivals", "_over_quota_weight", "_quotas_per_s", "_rates_per_s")
 
     def __init__(self, settings: Settings) -> None:
         replicas = settings.replicas or 1
         self._over_quota_weight = settings.over_quota_weight
-        # a quota that is not given binds nobody
+        # a quota of 0 stands for no quota
         self._quotas_per_s = [tenant.quota_per_s / replicas or math.inf for tenant in settings.tenants]
         self._rates_per_s = [0.0] * len(self._quotas_per_s)
         self._last_arrivals = [0.0] * len(self._quotas_per_s)
 
     def record_arrival(self, now: float, tenant: int) -> float:
-        """Count an arrival; the fraction of its class's weight that it has on average."""
+        """Record an arrival; return the mean fraction of their weight that the tenant's requests earn."""
         if not 0 <= tenant < len(self._quotas_per_s):
             return 1.0
         elapsed = now - self._last_arrivals[tenant]
--- a/shelfhaven/decision/timer_tokens.py
+++ b/shelfhaven/decision/timer_tokens.py
@@ -1,28 +1,29 @@
-"""Tokens of the timers that a controller sets.
+"""Tokens that identify the timers of a controller.
 
-A token below `TICK_TOKEN` is the id of a request of which something is due.  A retry of a downstream call has
-the request's id above `CALL_RETRY_OFFSET`.
+A token below `TICK_TOKEN` is a request id, and its timer is for the start or the answer of that request.  A
+token from `CALL_RETRY_OFFSET` is that offset plus a request id, and its timer is for the retry of a
+downstream call.
 """
 
 from __future__ import annotations
 
-# The control loop's timer; request ids are smaller.
+# Timer of the control loop; request ids are smaller.
 TICK_TOKEN = 1 << 40
 
-# Added to a request's id, it names the timer after which its downstream call is retried.
+# Added to a request id to get the token of the timer that retries the request's downstream call.
 CALL_RETRY_OFFSET = 1 << 41
 
 
 def call_retry_token(request_id: int) -> int:
-    """The token of the timer after which a request's call is retried."""
+    """Return the token of the timer that retries a request's downstream call."""
     return CALL_RETRY_OFFSET + request_id
 
 
 def is_call_retry(token: int) -> bool:
-    """Whether a timer is set for the retry of a call."""
+    """Return whether a token is for the retry of a downstream call."""
     return token >= CALL_RETRY_OFFSET
 
 
 def request_id_of(token: int) -> int:
-    """The request for which a timer was set; no request has the id that comes out for the tick."""
+    """Return the request id in a token; for `TICK_TOKEN` the result is not the id of any request."""
     return token % CALL_RETRY_OFFSET
--- a/tests/decision/test_admission.py
+++ b/tests/decision/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: the PI loop on queue waits, and who is rejected below full admission."""
+"""Admission control: the PI controller, and which requests are rejected below full admission."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from tests.decision.world import JobState, World
 
 
-def test_at_full_admission_nobody_is_rejected_however_heavy() -> None:
+def test_full_admission_rejects_no_caller_however_often_it_sends() -> None:
     world = overloaded(1.0)
     jobs = [world.arrive(0, 1) for _ in range(20)]
     assert all(job.state in (JobState.RUNNING, JobState.QUEUED) for job in jobs)
 
 
-def test_below_full_admission_the_caller_over_its_ceiling_is_rejected_first() -> None:
+def test_a_caller_over_its_ceiling_is_rejected_first() -> None:
     world = overloaded(1.0)
     world.arrive(0, 2)  # two callers: the minimum average headway is 0.5 s, the ceiling 4 s
     for _ in range(12):
@@ -31,9 +31,9 @@
     assert heavy.answers == 1
 
 
-def test_rejections_come_to_one_minus_the_admitted_share() -> None:
+def test_the_rejected_fraction_is_one_minus_the_admitted_share() -> None:
     world = overloaded(0.75)
-    # headways so short that no caller is over its ceiling
+    # the high rate makes headways so short that no caller is over its ceiling
     world.controller.state.callers.completion_rate = 1000.0
     rejected = 0
     for n in range(200):
@@ -45,14 +45,14 @@
     assert rejected == pytest.approx(50, abs=3)
 
 
-def test_below_full_admission_low_weight_for_the_work_is_rejected_first() -> None:
+def test_requests_of_low_weight_for_their_work_are_rejected_first() -> None:
     world = overloaded(0.6, classes=(READ, replace(READ, priority_weight=10.0)))
     rejected = rejections(world, [(0, 0)] * 8 + [(1, 0)] * 2)
     assert rejected[0, 0] > 50
     assert rejected[1, 0] == 0
 
 
-def test_weight_protects_no_caller_that_is_over_its_ceiling() -> None:
+def test_a_high_weight_does_not_protect_a_caller_over_its_ceiling() -> None:
     world = overloaded(0.9, classes=(READ, replace(READ, priority_weight=10.0)))
     world.arrive(0, 2)
     world.controller.state.admission.admitted_share = 1.0
@@ -75,10 +75,10 @@
     assert world.controller.state.admission.admitted_share == 1.0
 
 
-def test_one_hopeless_request_does_not_move_the_admitted_share_a_row_of_them_does() -> None:
+def test_several_hopeless_requests_lower_the_admitted_share_but_one_does_not() -> None:
     world = World(settings())
     busy = [world.arrive(0, 1), world.arrive(0, 2)]
-    world.arrive(0, 3, hint=30.0)  # given up at once: hopeless on full cores
+    world.arrive(0, 3, hint=30.0)  # hopeless because all cores are taken; given up at once
     world.advance(0.15)
     assert world.controller.state.admission.admitted_share == 1.0
     for _ in range(8):
@@ -88,7 +88,7 @@
     assert [job.state for job in busy] == [JobState.RUNNING, JobState.RUNNING]
 
 
-def test_rejected_calls_lower_the_admitted_share_which_returns_when_they_succeed_or_stop() -> None:
+def test_rejected_calls_lower_the_admitted_share_until_calls_succeed_or_stop() -> None:
     world = World(
         settings(
             downstream=DownstreamKind.TIER,
@@ -96,12 +96,12 @@
         )
     )
 
-    def call(outcome: Outcome) -> None:
+    def run_with_call(outcome: Outcome) -> None:
         job = world.arrive(1, 1)
         if job.is_in(JobState.RUNNING):
             world.need_call(job)
             world.end_call(job, outcome)
-            if job.is_in(JobState.CALLING):  # lost on the way, and retried
+            if job.is_in(JobState.CALLING):  # reset, and retried
                 world.end_call(job, outcome)
             if outcome is Outcome.OK:
                 world.finish(job)
@@ -111,16 +111,16 @@
         world.advance(0.3)
 
     for _ in range(30):
-        call(Outcome.RESET)
-    assert world.controller.state.admission.admitted_share == 1.0  # a lost path is no shortage of capacity
+        run_with_call(Outcome.RESET)
+    assert world.controller.state.admission.admitted_share == 1.0  # resets do not indicate a lack of capacity
     for _ in range(30):
-        call(Outcome.REJECTED)
+        run_with_call(Outcome.REJECTED)
     assert world.controller.state.admission.admitted_share < 0.5
-    low = world.controller.state.admission.admitted_share
-    world.advance(20.0)  # no calls for long: they are tried again
-    assert world.controller.state.admission.admitted_share > low
+    lowered_share = world.controller.state.admission.admitted_share
+    world.advance(20.0)  # without calls for long, old rejections are forgotten
+    assert world.controller.state.admission.admitted_share > lowered_share
     for _ in range(40):
-        call(Outcome.OK)
+        run_with_call(Outcome.OK)
     assert world.controller.state.admission.admitted_share == 1.0
 
 
@@ -136,13 +136,13 @@
 
 
 def _admission() -> AdmissionControl:
-    sample = settings()
-    return AdmissionControl(sample, RunEstimates(sample))
+    sample_settings = settings()
+    return AdmissionControl(sample_settings, RunEstimates(sample_settings))
 
 
-def test_the_share_falls_with_the_error_and_its_change_and_keeps_a_minimum() -> None:
+def test_the_admitted_share_follows_both_terms_of_the_controller_down_to_a_minimum() -> None:
     admission = _admission()
-    admission.update_share(2.0)  # an error of 1: 0.3 at once and 0.5 a second, for a tenth of one
+    admission.update_share(2.0)  # error 1: 0.3 from the proportional term, 0.5/s for 0.1 s from the integral
     assert admission.admitted_share == pytest.approx(0.65)
     admission.update_share(2.0)
     assert admission.admitted_share == pytest.approx(0.6)
@@ -151,21 +151,21 @@
     assert admission.admitted_share == MIN_ADMITTED_SHARE
 
 
-def test_waits_are_measured_against_what_the_class_can_afford() -> None:
+def test_queue_waits_are_relative_to_the_target_wait() -> None:
     admission = _admission()
-    request = sample_request()  # 0.25 s expected: 0.4 of 0.75 s may be spent waiting
+    request = sample_request()  # expected run 0.25 s of 1 s: the target wait is 0.4 * 0.75 s
     admission.record_queue_wait(0.6, request)
     assert admission.relative_wait == pytest.approx(2.0 / 8)
     request.may_have_run = True
     admission.record_queue_wait(60.0, request)
-    assert admission.relative_wait == pytest.approx(2.0 / 8), "a suspended request teaches nothing"
+    assert admission.relative_wait == pytest.approx(2.0 / 8), "the wait of a suspended request is ignored"
 
 
-def test_an_arrival_pays_once_the_debt_comes_to_its_protection() -> None:
+def test_an_arrival_is_rejected_once_the_rejections_due_reach_its_threshold() -> None:
     admission = _admission()
     admission.admitted_share = 0.5
-    paid = [admission.should_shed(sample_request(), 1.0) for _ in range(6)]
-    assert paid == [False, True] * 3
-    assert admission.should_shed(sample_request(), 0.0), "over the ceiling: whatever is owed"
+    shed = [admission.should_shed(sample_request(), 1.0) for _ in range(6)]
+    assert shed == [False, True] * 3
+    assert admission.should_shed(sample_request(), 0.0), "a caller over its ceiling has a threshold of 0"
     admission.admitted_share = 1.0
     assert not admission.should_shed(sample_request(), 0.0)
--- a/tests/decision/test_arrival.py
+++ b/tests/decision/test_arrival.py
@@ -1,4 +1,4 @@
-"""The verdict about an arrival."""
+"""The decision about an arrival."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from shelfhaven.decision.server_state import ServerState
 from tests.decision.samples import settings
 
-KEYED = 1  # the class of requests with an idempotency key
+KEYED_CLASS = 1  # requests with an idempotency key
 
 
 @pytest.fixture
@@ -17,11 +17,11 @@
     return ServerState(settings())
 
 
-def _verdict(state: ServerState, event: RequestArrived) -> Verdict:
+def _decide(state: ServerState, event: RequestArrived) -> Verdict:
     return judge(1.0, new_request(1.0, event, state), state)
 
 
-def test_an_arrival_is_counted_and_taken_into_the_table(state: ServerState) -> None:
+def test_an_arrival_is_recorded_in_statistics_and_request_table(state: ServerState) -> None:
     request = new_request(1.0, RequestArrived(7, 0, 3, 10.0, age=0.8), state)
     assert state.requests.by_id == {7: request}
     assert list(state.callers.entries) == [3]
@@ -29,33 +29,37 @@
     assert state.memory.used_kb == 10.0
 
 
-def test_a_healthy_server_at_full_admission_admits(state: ServerState) -> None:
-    assert _verdict(state, RequestArrived(7, 0, 3, 10.0)) is Verdict.ADMIT
+def test_a_healthy_server_at_full_admission_admits_an_arrival(state: ServerState) -> None:
+    assert _decide(state, RequestArrived(7, 0, 3, 10.0)) is Verdict.ADMIT
 
 
-def test_a_duplicate_is_answered_from_its_original_unless_that_was_rejected(state: ServerState) -> None:
+def test_a_duplicate_is_answered_from_its_original_unless_the_original_was_rejected(
+    state: ServerState,
+) -> None:
     state.keys.record_rejected(5, until=9.0)
-    repeat = RequestArrived(7, KEYED, 3, 10.0, original_id=4)
-    assert _verdict(state, repeat) is Verdict.ANSWER_FROM_ORIGINAL
-    assert _verdict(state, RequestArrived(8, KEYED, 3, 10.0, original_id=5)) is Verdict.ADMIT
-    assert _verdict(state, RequestArrived(9, 0, 3, 10.0, original_id=4)) is Verdict.ADMIT, "it has no key"
+    duplicate = RequestArrived(7, KEYED_CLASS, 3, 10.0, original_id=4)
+    assert _decide(state, duplicate) is Verdict.ANSWER_FROM_ORIGINAL
+    assert _decide(state, RequestArrived(8, KEYED_CLASS, 3, 10.0, original_id=5)) is Verdict.ADMIT
+    assert _decide(state, RequestArrived(9, 0, 3, 10.0, original_id=4)) is Verdict.ADMIT, "no key"
 
 
-def test_what_no_admitted_share_can_admit_is_rejected(state: ServerState) -> None:
-    assert _verdict(state, RequestArrived(1, 0, 3, 10.0, budget=0.001)) is Verdict.REJECT, "no time"
-    assert _verdict(state, RequestArrived(2, 0, 3, 9999.0)) is Verdict.REJECT, "no memory"
+def test_an_arrival_without_time_or_memory_is_rejected_at_full_admission(state: ServerState) -> None:
+    assert _decide(state, RequestArrived(1, 0, 3, 10.0, budget=0.001)) is Verdict.REJECT, "no time"
+    assert _decide(state, RequestArrived(2, 0, 3, 9999.0)) is Verdict.REJECT, "no memory"
 
 
-def test_a_stalled_server_rejects_everything_an_unhealthy_one_the_slow(state: ServerState) -> None:
+def test_an_unhealthy_server_rejects_long_runs_and_a_stalled_one_rejects_everything(
+    state: ServerState,
+) -> None:
     state.health.unhealthy = True
-    assert _verdict(state, RequestArrived(1, 0, 3, 10.0)) is Verdict.ADMIT
-    assert _verdict(state, RequestArrived(2, 0, 3, 10.0, work_hint=1.5)) is Verdict.REJECT
+    assert _decide(state, RequestArrived(1, 0, 3, 10.0)) is Verdict.ADMIT
+    assert _decide(state, RequestArrived(2, 0, 3, 10.0, work_hint=1.5)) is Verdict.REJECT
     state.health.stall_detector.stalled = True
-    assert _verdict(state, RequestArrived(3, 0, 3, 10.0)) is Verdict.REJECT
+    assert _decide(state, RequestArrived(3, 0, 3, 10.0)) is Verdict.REJECT
 
 
-def test_load_is_shed_everywhere(state: ServerState) -> None:
+def test_requests_shed_for_load_are_rejected_without_retry(state: ServerState) -> None:
     state.admission.admitted_share = 0.0
-    verdicts = [_verdict(state, RequestArrived(number, 0, 3, 10.0)) for number in range(8)]
-    assert verdicts.count(Verdict.REJECT_EVERYWHERE) >= 1
-    assert Verdict.REJECT not in verdicts
+    decisions = [_decide(state, RequestArrived(number, 0, 3, 10.0)) for number in range(8)]
+    assert decisions.count(Verdict.REJECT_EVERYWHERE) >= 1
+    assert Verdict.REJECT not in decisions
--- a/tests/decision/test_attempt_limits.py
+++ b/tests/decision/test_attempt_limits.py
@@ -1,4 +1,4 @@
-"""Time limits of attempts, and the age of a retry's client that they tell."""
+"""Time limits of attempts, and the estimate of how long a retry's client has been waiting."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from tests.decision.world import World
 
 
-def _busy_world(marks_retry: bool = False) -> World:
-    """A server without idle cores, at full admission."""
-    world = World(settings(classes=(READ,), passes_deadline=True, marks_retries=marks_retry))
+def _busy_world(marks_retries: bool = False) -> World:
+    """Return a server without idle cores, at full admission."""
+    world = World(settings(classes=(READ,), passes_deadline=True, marks_retries=marks_retries))
     world.controller.state.concurrency.idle_fraction = 0.0
     return world
 
 
 def _first_attempts(world: World, count: int, budget: float) -> None:
-    """Attempts that bring a time limit of their caller's, each served at once."""
-    for turn in range(count):
+    """Send attempts with the same time limit, each of which runs at once."""
+    for number in range(count):
         world.advance(0.01)
-        job = world.arrive(0, turn % 2, budget=budget)
+        job = world.arrive(0, number % 2, budget=budget)
         world.finish(job)
 
 
-def test_an_attempt_whose_client_has_little_time_left_is_too_old_and_rejected_at_once() -> None:
+def test_an_attempt_whose_client_has_waited_too_long_is_rejected_at_once() -> None:
     world = _busy_world()
     _first_attempts(world, 60, 1.5)
-    old = world.arrive(0, 1, budget=0.9)  # of 3 s: its client first tried 2.1 s ago, for an objective of 1 s
+    old = world.arrive(0, 1, budget=0.9)  # of a 3 s deadline: 2.1 s have passed, and the objective is 1 s
     assert (old.answers, old.runs) == (1, 0)
     (rejection,) = (action for action in world.actions if isinstance(action, RejectRequest))
     assert rejection.no_retry_elsewhere, "no other server has more time for it"
@@ -36,30 +36,30 @@
     assert young.runs == 1
 
 
-def test_a_time_limit_that_many_attempts_bring_tells_nothing_of_their_clients() -> None:
+def test_a_common_time_limit_says_nothing_about_the_prior_wait() -> None:
     world = _busy_world()
     _first_attempts(world, 60, 0.9)
     assert world.arrive(0, 1, budget=0.9).runs == 1
 
 
-def test_a_caller_whose_attempts_all_bring_limits_of_its_own_is_served() -> None:
+def test_attempts_of_a_caller_that_sets_limits_of_its_own_run_after_a_few() -> None:
     world = _busy_world()
     _first_attempts(world, 60, 1.5)
-    own = [world.arrive(0, 7, budget=0.6 + turn / 50) for turn in range(8)]
-    assert [job.answers for job in own] == [1] * attempt_limits.MAX_UNFAMILIAR_LIMITS + [0] * (
+    jobs = [world.arrive(0, 7, budget=0.6 + number / 50) for number in range(8)]
+    assert [job.answers for job in jobs] == [1] * attempt_limits.MAX_UNFAMILIAR_LIMITS + [0] * (
         8 - attempt_limits.MAX_UNFAMILIAR_LIMITS
     )
 
 
-def test_on_idle_cores_an_old_attempt_is_served_all_the_same() -> None:
+def test_an_old_attempt_runs_if_cores_are_idle() -> None:
     world = _busy_world()
     _first_attempts(world, 60, 1.5)
     world.controller.state.concurrency.idle_fraction = 0.9
     assert world.arrive(0, 1, budget=0.9).runs == 1
 
 
-def test_where_retries_are_marked_only_those_are_aged() -> None:
-    world = _busy_world(marks_retry=True)
+def test_where_callers_mark_retries_only_marked_attempts_count_as_old() -> None:
+    world = _busy_world(marks_retries=True)
     _first_attempts(world, 60, 1.5)
     assert world.arrive(0, 1, budget=0.6).runs == 1
     marked = RequestArrived(999, 0, 1, 10.0, budget=0.9, is_retry=True)
@@ -70,8 +70,8 @@
     ] == [999]
 
 
-def test_the_table_of_time_limits_stays_small() -> None:
+def test_the_histogram_of_time_limits_is_bounded() -> None:
     limits = AttemptLimits()
-    for turn in range(20_000):
-        limits.record((turn * 0.37) % 60.0)
-    assert len(limits.counts) <= attempt_limits.COUNTED_ATTEMPTS
+    for number in range(20_000):
+        limits.record((number * 0.37) % 60.0)
+    assert len(limits.counts) <= attempt_limits.MAX_COUNTED_ATTEMPTS
--- a/tests/decision/test_caller_table.py
+++ b/tests/decision/test_caller_table.py
@@ -1,4 +1,4 @@
-"""The table of callers: headway counters, the ceiling, and Retry-After."""
+"""The caller table: headway counters, the ceiling, and Retry-After."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 from tests.decision.samples import PATIENT, overloaded, settings
 
 
-def test_the_table_is_most_recently_used_first_and_evicts_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_most_recently_active_caller_is_first_and_the_last_one_is_evicted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(caller_table, "MAX_CALLERS", 2)
     callers = CallerTable()
     for now, key in enumerate([1, 2, 1, 3]):
@@ -20,7 +22,7 @@
     assert list(callers.entries) == [3, 1]
 
 
-def test_minimum_average_headway_is_callers_over_the_completion_rate() -> None:
+def test_minimum_average_headway_is_the_number_of_callers_over_the_completion_rate() -> None:
     callers = CallerTable()
     assert callers.minimum_average_headway() == 0.0
     for key in range(3):
@@ -29,10 +31,10 @@
     assert callers.minimum_average_headway() == 0.5
 
 
-def test_counter_decays_with_time_not_below_zero_and_is_charged_one_headway() -> None:
+def test_counter_is_charged_one_headway_and_decays_with_time_down_to_zero() -> None:
     callers = CallerTable()
     callers.completion_rate = 2.0
-    caller = callers.record_arrival(1, 0.0)  # one caller, two completions a second: 0.5 s
+    caller = callers.record_arrival(1, 0.0)  # one caller, two completions per second: the headway is 0.5 s
     callers.charge(caller)
     callers.charge(caller)
     assert caller.counter == 1.0
@@ -42,7 +44,7 @@
     assert caller.counter == 0.0
 
 
-def test_above_eight_headways_a_caller_is_over_the_ceiling_and_charged_no_more() -> None:
+def test_a_caller_above_eight_headways_is_over_the_ceiling_and_no_longer_charged() -> None:
     callers = CallerTable()
     callers.completion_rate = 2.0
     caller = callers.record_arrival(1, 0.0)
@@ -56,7 +58,7 @@
     assert caller.counter == 4.5
 
 
-def test_heaviest_share_follows_arrival_rates() -> None:
+def test_heaviest_share_is_the_share_of_the_caller_with_the_highest_arrival_rate() -> None:
     callers = CallerTable()
     for n in range(40):
         callers.record_arrival(1, n * 0.1)
@@ -65,16 +67,16 @@
     assert callers.heaviest_share == pytest.approx(0.8, abs=0.03)
 
 
-def test_every_rejection_carries_the_larger_of_headway_and_own_gap_as_retry_after() -> None:
+def test_retry_after_is_the_larger_of_the_headway_and_the_callers_mean_interval() -> None:
     world = overloaded(0.05, classes=(PATIENT,))
     rejections: list[RejectRequest] = []
     for _ in range(20):
-        world.now += 0.4  # one caller every 0.4 s; the minimum average headway is 1 / 4 s
+        world.now += 0.4  # one caller, which sends every 0.4 s; the minimum average headway is 1 / 4 s
         world.arrive(0, 1)
         rejections = [action for action in world.actions if isinstance(action, RejectRequest)]
     assert rejections
     assert rejections[-1].retry_after == pytest.approx(0.4)
-    world.controller.state.callers.completion_rate = 2.0  # the headway is now 0.5 s, above the gap
+    world.controller.state.callers.completion_rate = 2.0  # the headway is now 0.5 s, above the mean interval
     before = len(rejections)
     while len(rejections) == before:
         world.now += 0.4
@@ -83,7 +85,7 @@
     assert rejections[-1].retry_after == pytest.approx(0.5)
 
 
-def test_retry_after_stays_within_its_maximum_and_is_left_out_where_callers_take_none() -> None:
+def test_retry_after_is_at_most_its_maximum_and_0_where_callers_ignore_it() -> None:
     for allowed, expected in ((True, 0.3), (False, 0.0)):
         world = overloaded(0.05, allows_retry_after=allowed, max_retry_after=0.3, classes=(PATIENT,))
         for _ in range(20):
@@ -94,31 +96,31 @@
         assert {action.retry_after for action in rejections} == {expected}
 
 
-def test_work_for_an_arrival_does_not_grow_with_the_number_of_callers() -> None:
-    class Counting(dict[int, Caller]):
-        walks = 0
+def test_the_cost_of_an_arrival_does_not_grow_with_the_number_of_callers() -> None:
+    class CountingDict(dict[int, Caller]):
+        iterations = 0
 
-        def values(self) -> Any:  # any walk over the list would come through here or __iter__
-            Counting.walks += 1
+        def values(self) -> Any:  # any iteration over the callers calls this method or __iter__
+            CountingDict.iterations += 1
             return super().values()
 
         def __iter__(self) -> Any:
-            Counting.walks += 1
+            CountingDict.iterations += 1
             return super().__iter__()
 
         def move_to_end(self, key: int, last: bool = True) -> None:
             pass
 
     world = overloaded(0.5, callers=500)
-    world.controller.state.callers.entries = Counting()  # type: ignore[assignment]
+    world.controller.state.callers.entries = CountingDict()  # type: ignore[assignment]
     for n in range(500):
         world.arrive(0, n)
         world.advance(0.01)
     assert len(world.controller.state.callers.entries) == 500
-    assert Counting.walks == 0
+    assert CountingDict.iterations == 0
 
 
-def test_a_rejected_caller_takes_at_least_the_given_retry_after_within_the_maximum() -> None:
+def test_retry_after_is_at_least_the_given_minimum_and_at_most_its_maximum() -> None:
     callers = CallerTable()
     caller = callers.record_arrival(1, 0.0)
     assert callers.retry_after(caller, 0.5, settings(max_retry_after=2.0)) == 0.5
@@ -126,16 +128,16 @@
     assert callers.retry_after(caller, 5.0, settings(allows_retry_after=False)) == 0.0
 
 
-def test_an_empty_counter_is_protected_most_and_a_caller_over_the_ceiling_not_at_all() -> None:
+def test_rejection_threshold_is_highest_with_an_empty_counter_and_0_over_the_ceiling() -> None:
     callers = CallerTable()
     callers.completion_rate = 2.0
     heavy = callers.record_arrival(1, 0.0)
     heavy.counter = 9.0
     light = callers.record_arrival(2, 0.0)
     callers.mean_counter = 1.0
-    assert callers.protection(heavy) == 0.0
-    assert callers.protection(light) == 4.0
+    assert callers.rejection_threshold(heavy) == 0.0
+    assert callers.rejection_threshold(light) == 4.0
     light.counter = 0.5
-    assert callers.protection(light) == 2.5
+    assert callers.rejection_threshold(light) == 2.5
     light.counter = 2.0
-    assert callers.protection(light) == 1.0
+    assert callers.rejection_threshold(light) == 1.0
--- a/tests/decision/test_connection_policy.py
+++ b/tests/decision/test_connection_policy.py
@@ -16,11 +16,11 @@
     return [action.timeout for action in world.actions if isinstance(action, SetIdleTimeout)]
 
 
-def test_idle_connections_are_closed_early_only_where_callers_rarely_come_back() -> None:
-    assert _idle_timeouts(20) == []  # four requests a second: each comes back within five seconds
-    last = _idle_timeouts(1000)[-1]
-    assert last is not None
-    assert 0 < last < 0.1
+def test_idle_connections_are_closed_early_only_where_callers_rarely_send() -> None:
+    assert _idle_timeouts(20) == []  # four requests per second: each caller sends every five seconds
+    last_timeout = _idle_timeouts(1000)[-1]
+    assert last_timeout is not None
+    assert 0 < last_timeout < 0.1
 
 
 def test_connections_are_not_closed_early_while_most_arrivals_are_rejected() -> None:
@@ -41,18 +41,18 @@
 
 def test_early_closing_begins_and_ends_at_different_rejected_fractions() -> None:
     policy = ConnectionPolicy(settings(callers=1000, connection_idle_timeout=30.0))
-    assert policy.update(0.0) is None, "nothing was completed: nothing is known"
+    assert policy.update(0.0) is None, "without completions the interval between requests is unknown"
     policy.rejected_fraction = 0.5
     assert policy.update(4.0) is None
     policy.rejected_fraction = 0.3
     assert policy.update(4.0) == SetIdleTimeout(EARLY_IDLE_TIMEOUT_S)
     policy.rejected_fraction = 0.5
-    assert policy.update(4.0) is None, "it goes on"
+    assert policy.update(4.0) is None, "early closing continues up to a higher fraction"
     policy.rejected_fraction = 0.8
     assert policy.update(4.0) == SetIdleTimeout(None)
 
 
-def test_the_rejected_fraction_follows_arrivals() -> None:
+def test_the_rejected_fraction_is_measured_over_recent_arrivals() -> None:
     policy = ConnectionPolicy(settings())
     for number in range(1000):
         policy.record_arrival()
--- a/tests/decision/test_graceful_shutdown.py
+++ b/tests/decision/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The times of a drain."""
+"""The points in time of a drain."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.decision.samples import settings
 
 
-def test_before_a_drain_nothing_is_too_late() -> None:
+def test_before_a_drain_no_arrival_is_too_late() -> None:
     shutdown = GracefulShutdown(settings())
     assert not shutdown.started
     assert not shutdown.arrived_too_late(1e12)
@@ -21,13 +21,13 @@
     assert shutdown.arrived_too_late(11.1)
 
 
-def test_a_time_left_that_makes_no_sense_is_none() -> None:
+def test_an_invalid_time_left_counts_as_zero() -> None:
     shutdown = GracefulShutdown(settings())
     shutdown.start(10.0, float("nan"), idle_fraction=0.0)
     assert shutdown.stops_at == 10.0
 
 
-def test_callers_are_notified_at_once_only_where_other_servers_have_capacity() -> None:
+def test_callers_are_told_at_once_only_if_the_other_servers_have_capacity() -> None:
     for replicas, closed_at in ((2, 11.0), (8, 10.0)):
         shutdown = GracefulShutdown(settings(replicas=replicas, drain_grace=1.0))
         shutdown.start(10.0, 3.0, idle_fraction=0.4)
--- a/tests/decision/test_idempotency.py
+++ b/tests/decision/test_idempotency.py
@@ -1,4 +1,4 @@
-"""The key table: duplicates are answered from their original, and nothing runs twice."""
+"""The key table: duplicates are answered from their original instead of running again."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.decision.world import JobState, World
 
 
-def test_a_duplicate_is_answered_from_the_original_while_queued_running_and_finished() -> None:
+def test_a_duplicate_is_answered_from_its_original_until_the_key_expires() -> None:
     world = World(settings())
     original = world.arrive(1, 1, key=7)
     duplicate = world.arrive(1, 2, key=7)
@@ -22,10 +22,10 @@
     assert world.arrive(1, 2, key=7).state == JobState.REUSING
     world.advance(5.5)
     world.settle()
-    assert world.arrive(1, 2, key=7).state == JobState.RUNNING  # its time to live is over
+    assert world.arrive(1, 2, key=7).state == JobState.RUNNING  # the key has expired
 
 
-def test_a_key_is_retained_before_its_request_runs_and_released_when_that_is_rejected_unrun() -> None:
+def test_a_key_is_retained_before_its_request_runs_and_released_if_the_request_is_rejected() -> None:
     world = World(settings())
     for _ in range(3):
         world.arrive(0, 1)
@@ -36,7 +36,7 @@
     assert queued.id not in world.retained
 
 
-def test_a_duplicate_of_a_request_rejected_at_the_same_moment_is_new_work() -> None:
+def test_a_duplicate_of_a_request_that_was_just_rejected_is_new_work() -> None:
     controller = Controller(settings(), 1)
     controller.state.health.stall_detector.stalled = True
     assert actions_of(controller.on_event(0.0, RequestArrived(1, 1, 1, 5.0)), RejectRequest)
@@ -48,14 +48,14 @@
 
 def test_a_cancelled_run_is_stopped_unless_a_duplicate_waits_for_its_answer() -> None:
     world = World(settings(cancel_mode=CancelMode.ABORT))
-    original, alone = world.arrive(1, 1, key=7), world.arrive(1, 1, key=8)
+    original, without_duplicate = world.arrive(1, 1, key=7), world.arrive(1, 1, key=8)
     world.arrive(1, 2, key=7)
     world.cancel(original)
-    world.cancel(alone)
-    assert actions_of(world.actions, StopRun) == [StopRun(alone.id)]
+    world.cancel(without_duplicate)
+    assert actions_of(world.actions, StopRun) == [StopRun(without_duplicate.id)]
 
 
-def test_memory_is_never_filled_by_keys_and_runs() -> None:
+def test_keys_and_runs_stay_within_the_memory() -> None:
     world = World(settings(memory_kb=200.0, cores=8))
     for n in range(30):
         world.arrive(1, 1, key=n, footprint_kb=6.0)
@@ -77,7 +77,7 @@
     assert memory.used_kb == 0.0
 
 
-def test_a_rejected_request_is_remembered_for_the_time_to_live_of_its_key() -> None:
+def test_a_rejected_request_is_remembered_until_its_key_expires() -> None:
     keys = KeyTable(MemoryBudget(100.0), 5.0)
     keys.record_rejected(1, until=2.0)
     keys.expire(1.9)
--- a/tests/decision/test_load_advertisement.py
+++ b/tests/decision/test_load_advertisement.py
@@ -13,42 +13,43 @@
 from tests.decision.world import World
 
 
-def test_the_window_is_even_when_busy_and_serves_the_heaviest_when_idle() -> None:
-    advertised = {}
+def test_the_window_is_an_even_share_when_busy_and_larger_for_the_heaviest_caller_when_idle() -> None:
+    window_by_cpu = {}
     for cpu in (1.0, 0.2):
         world = World(settings(load_advertisement=LoadAdvertisement.WINDOW, callers=10))
         for n in range(60):
             job = world.arrive(0, 1 if n % 10 else n)
             world.advance(0.1, cpu=cpu)
             world.finish(job, spent=0.1)
-        advertised[cpu] = world.advertised or 0.0
-    assert 0 < advertised[1.0] < 0.5 * advertised[0.2]
+        window_by_cpu[cpu] = world.advertised or 0.0
+    assert 0 < window_by_cpu[1.0] < 0.5 * window_by_cpu[0.2]
 
 
 def test_an_unhealthy_server_advertises_full_load_and_a_small_weight() -> None:
-    for advert, value in ((LoadAdvertisement.LEVEL, 1.0), (LoadAdvertisement.WEIGHT, 0.1)):
-        world = World(settings(load_advertisement=advert))
+    for kind, value in ((LoadAdvertisement.LEVEL, 1.0), (LoadAdvertisement.WEIGHT, 0.1)):
+        world = World(settings(load_advertisement=kind))
         world.arrive(0, 1), world.arrive(0, 2)
-        world.advance(2.0)  # both cores taken and nothing moves
+        world.advance(2.0)  # both cores are taken and no run ends
         assert not world.healthy
         assert world.advertised == value
 
 
-def test_a_draining_server_closes_its_window_at_once_only_if_the_others_have_capacity() -> None:
-    def published(busy: float, servers: int) -> list[float]:
+def test_a_draining_server_closes_its_window_at_once_only_if_other_servers_have_capacity() -> None:
+    def advertised_after_drain(busy: float, servers: int) -> list[float]:
         world = World(settings(load_advertisement=LoadAdvertisement.WINDOW, replicas=servers))
         world.advance(1.0, cpu=busy)
-        shown = [action.value for action in world.actions if isinstance(action, AdvertiseLoad)]
+        before = [action.value for action in world.actions if isinstance(action, AdvertiseLoad)]
         world.drain(3.0)
         world.advance(0.5, cpu=busy)
-        after = [action.value for action in world.actions if isinstance(action, AdvertiseLoad)][len(shown) :]
-        world.advance(1.0, cpu=busy)  # past the grace of one second
+        after = [action.value for action in world.actions if isinstance(action, AdvertiseLoad)][len(before) :]
+        world.advance(1.0, cpu=busy)  # after the grace of one second
         assert [action.value for action in world.actions if isinstance(action, AdvertiseLoad)][-1] == 0.0
         return after
 
-    assert 0.0 in published(busy=0.2, servers=2)
-    assert 0.0 in published(busy=0.6, servers=8)
-    assert 0.0 not in published(busy=0.6, servers=2)  # one of two: half of the work has nowhere to go
+    assert 0.0 in advertised_after_drain(busy=0.2, servers=2)
+    assert 0.0 in advertised_after_drain(busy=0.6, servers=8)
+    # the other of two servers cannot take over the load
+    assert 0.0 not in advertised_after_drain(busy=0.6, servers=2)
 
 
 BUSY = LoadSnapshot(
@@ -67,14 +68,14 @@
     return None if action is None else action.value
 
 
-def test_values_of_a_busy_server() -> None:
+def test_advertised_values_of_a_busy_server() -> None:
     assert _advertised(LoadAdvertisement.NONE, BUSY) is None
     assert _advertised(LoadAdvertisement.LEVEL, BUSY) == pytest.approx(0.2)
     assert _advertised(LoadAdvertisement.WEIGHT, BUSY) == 0.8
     assert _advertised(LoadAdvertisement.WINDOW, BUSY) == pytest.approx(0.8 * (4.0 + 2.0) / 4)
 
 
-def test_values_of_a_server_that_is_unhealthy_or_closed() -> None:
+def test_advertised_values_of_an_unhealthy_or_closed_server() -> None:
     for kind, unhealthy, closed in (
         (LoadAdvertisement.LEVEL, 1.0, 1.0),
         (LoadAdvertisement.WEIGHT, 0.1, 0.0),
@@ -84,7 +85,7 @@
         assert _advertised(kind, replace(BUSY, closed=True)) == closed
 
 
-def test_spare_cores_open_the_window_to_what_the_heaviest_caller_needs() -> None:
+def test_with_spare_cores_the_window_is_what_the_heaviest_caller_needs() -> None:
     spare = replace(BUSY, spare_fraction=1.0)
     assert _advertised(LoadAdvertisement.WINDOW, spare) == pytest.approx(0.8 * ((4.0 + 2.0) * 0.5 + 1.0))
 
