--- a/shelfhaven/simulation/__init__.py
+++ b/shelfhaven/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter of the simulator's wire: frames of events in, frames of actions out."""
+"""Adapter between the simulator's wire protocol and controllers: event frames in, action frames out."""
--- a/shelfhaven/simulation/__main__.py
+++ b/shelfhaven/simulation/__main__.py
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Answer frames until the input ends; the exit status is 1 where the input is not understood."""
+    """Reply to frames until the input ends; return exit status 1 if the input is invalid."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/shelfhaven/simulation/translation.py
+++ b/shelfhaven/simulation/translation.py
@@ -1,6 +1,6 @@
-"""Translation between the wire's records and the controller's events and actions.
+"""Conversion between records of the wire protocol and the controller's events and actions.
 
-On the wire an absent value is 0; an event has None for it.
+A missing value is 0 in a record and None in an event.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
     410: Outcome.ABANDONED,
 }
 
-# Bits of an arrival's `state-bits`.
-WORK_HINT_BIT = 1  # its work hint counts
-RETRY_BIT = 2  # its caller marks it as a retry
+# Bits of `state-bits` in an `Arrival` record.
+WORK_HINT_BIT = 1  # the work hint is valid
+RETRY_BIT = 2  # the caller marks the request as a retry
 
-MAX_GAUGES = 4  # fields for gauges in a timer's record
+MAX_GAUGES = 4  # number of gauge fields in an `Elapsed` record
 
-BareRequestAction: TypeAlias = (
+RequestIdAction: TypeAlias = (
     actions.StartRun
     | actions.StopRun
     | actions.FailRequest
     | actions.ReleaseKey
     | actions.AnswerFromOriginal
     | actions.SkipCall
-)  # with a request's id and nothing else
-RequestAction: TypeAlias = BareRequestAction | actions.RejectRequest | actions.RetainKey | actions.PlaceCall
+)  # their only field is the request id
+RequestAction: TypeAlias = RequestIdAction | actions.RejectRequest | actions.RetainKey | actions.PlaceCall
 
-BARE_REQUEST_RECORDS: dict[type[BareRequestAction], str] = {
+REQUEST_ID_RECORDS: dict[type[RequestIdAction], str] = {
     actions.StartRun: "Begin",
     actions.StopRun: "Halt",
     actions.FailRequest: "Lose",
@@ -49,38 +49,38 @@
 }
 
 
-def event_of(record: Record) -> events.Event:
-    """The event that a record tells of; `Spawn` and `Retire` are none."""
-    return _EVENTS[record.name](record)
+def event_from_record(record: Record) -> events.Event:
+    """Convert a record to an event, except `Spawn` and `Retire`, which the adapter handles."""
+    return _EVENT_CONVERTERS[record.name](record)
 
 
-def record_of(action: actions.Action, who: int) -> Record:
-    """The record that carries an action of an instance."""
+def record_from_action(action: actions.Action, instance: int) -> Record:
+    """Convert an action of an instance to a record."""
     match action:
         case actions.SetTimer():
-            return Record("SetAlarm", {"who": who, "wait": action.delay, "ref": action.token})
+            return Record("SetAlarm", {"who": instance, "wait": action.delay, "ref": action.token})
         case actions.SetHealth():
-            return Record("Status", {"who": who, "on": action.healthy, "light": action.cached})
+            return Record("Status", {"who": instance, "on": action.healthy, "light": action.cached})
         case actions.AdvertiseLoad():
-            return Record("Publish", {"who": who, "x": action.value})
+            return Record("Publish", {"who": instance, "x": action.value})
         case actions.SetIdleTimeout():
-            return Record("CloseIdle", {"who": who, "keep-for": action.timeout or 0.0})
+            return Record("CloseIdle", {"who": instance, "keep-for": action.timeout or 0.0})
         case _:
-            fields: Fields = {"who": who, "txn": action.request_id}
-            return _request_record(action, fields)
+            request_fields: Fields = {"who": instance, "txn": action.request_id}
+            return _request_record(action, request_fields)
 
 
-def _request_record(action: RequestAction, fields: Fields) -> Record:
+def _request_record(action: RequestAction, request_fields: Fields) -> Record:
     match action:
         case actions.RejectRequest():
             rejection: Fields = {"pause": action.retry_after, "no-retry": action.no_retry_elsewhere}
-            return Record("OverloadReply", fields | rejection)
+            return Record("OverloadReply", request_fields | rejection)
         case actions.RetainKey():
-            return Record("Pin", fields | {"keep-for": action.ttl})
+            return Record("Pin", request_fields | {"keep-for": action.ttl})
         case actions.PlaceCall():
-            return Record("AskBelow", fields | {"limit": action.timeout or 0.0})
+            return Record("AskBelow", request_fields | {"limit": action.timeout or 0.0})
         case _:
-            return Record(BARE_REQUEST_RECORDS[type(action)], fields)
+            return Record(REQUEST_ID_RECORDS[type(action)], request_fields)
 
 
 def _outcome(record: Record) -> Outcome:
@@ -135,7 +135,7 @@
     return events.TimerFired(record.integer("ref"), gauges)
 
 
-_EVENTS: dict[str, Callable[[Record], events.Event]] = {
+_EVENT_CONVERTERS: dict[str, Callable[[Record], events.Event]] = {
     "Arrival": _request_arrived,
     "RunOver": _run_finished,
     "StalledOnCall": _call_needed,
--- a/shelfhaven/simulation/wire.py
+++ b/shelfhaven/simulation/wire.py
@@ -1,8 +1,8 @@
-"""Codec of the simulator's wire: frames of fixed-size records with one shared tail for texts.
+"""Codec of the simulator's wire protocol: frames of fixed-size records, followed by a tail with all strings.
 
-A frame is its length, a header, records of one size each and the tail.  A record is a code byte and its
-packed fields; a text field holds offset and size of the text within the tail.  All numbers are
-little-endian.
+A frame consists of a header, whose first field is the length of the rest of the frame, records of equal size,
+and the tail.  A record is a code byte followed by packed fields.  A text field holds the offset and the size,
+in bytes, of a string in the tail.  All numbers are little-endian.
 """
 
 from __future__ import annotations
@@ -13,42 +13,42 @@
 
 from shelfhaven.errors import ShelfhavenError
 
-EVENT_SIZE = 64  # bytes of a record, its code byte included
+EVENT_SIZE = 64  # bytes of a record, including its code byte
 ACTION_SIZE = 24
-EVENT_HEADER = struct.Struct("<IIdI")  # length, number of records, time, number of the batch
-REPLY_HEADER = struct.Struct("<III")  # length, number of records, number of the batch
-_LENGTH = struct.Struct("<I")  # of what follows it
+BATCH_HEADER = struct.Struct("<IIdI")  # length, record count, time, batch number
+REPLY_HEADER = struct.Struct("<III")  # length, record count, batch number
+_LENGTH = struct.Struct("<I")  # first field of both headers: length of the rest of the frame
 
 Value = int | float | str
 Fields = dict[str, Value]
 
 
 class WireError(ShelfhavenError):
-    """A frame that does not follow the wire's description."""
+    """A frame violates the wire protocol."""
 
 
 class Record(NamedTuple):
-    """One event or action: its name and its fields, `who` among them."""
+    """One event or action: its name and its fields, including the instance number `who`."""
 
     name: str
     fields: Fields
 
     def integer(self, field: str) -> int:
-        """The value of an integer field."""
+        """Return the value of an integer field."""
         value = self.fields[field]
         if not isinstance(value, int):
             raise WireError(f"{self.name}.{field} is not an integer")
         return value
 
     def number(self, field: str) -> float:
-        """The value of a floating-point field."""
+        """Return the value of a numeric field."""
         value = self.fields[field]
         if isinstance(value, str):
             raise WireError(f"{self.name}.{field} is not a number")
         return value
 
     def text(self, field: str) -> str:
-        """The value of a text field."""
+        """Return the value of a text field."""
         value = self.fields[field]
         if not isinstance(value, str):
             raise WireError(f"{self.name}.{field} is not text")
@@ -56,56 +56,59 @@
 
 
 class RecordLayout:
-    """Codec of one kind of record: named fields packed after the code byte, `text` fields in the tail.
+    """Codec of one kind of record.
 
-    `spec` lists the fields as `name:format`, where the format is a letter of `struct` or `text`.
+    `spec` lists the fields as `name:format`, separated by spaces.  The format is a format character of
+    `struct`, or `text` for a string in the tail.
     """
 
     def __init__(self, code: int, name: str, spec: str) -> None:
         self.code = code
         self.name = name
         formats = dict(field.split(":") for field in spec.split())
-        self.names = tuple(formats)
-        self.texts = frozenset(name for name, letters in formats.items() if letters == "text")
-        packed = ("II" if letters == "text" else letters for letters in formats.values())
+        self.field_names = tuple(formats)
+        self.text_fields = frozenset(
+            field_name for field_name, field_format in formats.items() if field_format == "text"
+        )
+        packed = ("II" if field_format == "text" else field_format for field_format in formats.values())
         self.struct = struct.Struct("<B" + "".join(packed))
 
     def unpack(self, frame: bytes, start: int, tail: int) -> Fields:
-        """The fields of the record at `start`, with texts from the tail at `tail`."""
+        """Return the fields of the record at offset `start`; the tail begins at offset `tail`."""
         values = iter(self.struct.unpack_from(frame, start)[1:])
         fields: Fields = {}
-        for name in self.names:
-            if name in self.texts:
+        for field in self.field_names:
+            if field in self.text_fields:
                 offset = next(values)
                 size = next(values)
-                fields[name] = self._text(name, frame, tail + offset, size)
+                fields[field] = self._text(field, frame, tail + offset, size)
             else:
-                fields[name] = next(values)
+                fields[field] = next(values)
         return fields
 
-    def _text(self, name: str, frame: bytes, start: int, size: int) -> str:
+    def _text(self, field: str, frame: bytes, start: int, size: int) -> str:
         if start + size > len(frame):
-            raise WireError(f"{self.name}.{name} points outside the tail")
+            raise WireError(f"{self.name}.{field} points outside the tail")
         try:
             return frame[start : start + size].decode()
         except UnicodeDecodeError as error:
-            raise WireError(f"{self.name}.{name} is not text") from error
+            raise WireError(f"{self.name}.{field} is not valid UTF-8") from error
 
     def pack(self, fields: Fields, size: int, tail: bytearray) -> bytes:
-        """The record in `size` bytes; absent fields are 0, and texts are added to the tail."""
+        """Pack a record into `size` bytes; missing fields become 0, and strings are appended to the tail."""
         values: list[int | float] = [self.code]
-        for name in self.names:
-            value = fields.get(name, 0)
+        for field in self.field_names:
+            value = fields.get(field, 0)
             if isinstance(value, str):
-                data = value.encode()
-                values += [len(tail), len(data)]
-                tail += data
+                encoded = value.encode()
+                values += [len(tail), len(encoded)]
+                tail += encoded
             else:
                 values.append(value)
         return self.struct.pack(*values).ljust(size, b"\0")
 
 
-EVENTS = (
+EVENT_LAYOUTS = (
     RecordLayout(0, "Spawn", "who:H rng-seed:Q options:text"),
     RecordLayout(
         1,
@@ -121,7 +124,7 @@
     RecordLayout(7, "Elapsed", "who:H ref:Q gauges:B g0:f g1:f g2:f g3:f"),
     RecordLayout(8, "Retire", "who:H"),
 )
-ACTIONS = (
+ACTION_LAYOUTS = (
     RecordLayout(64, "Halt", "who:H txn:I"),
     RecordLayout(65, "CloseIdle", "who:H keep-for:d"),
     RecordLayout(66, "AnswerFrom", "who:H txn:I"),
@@ -138,14 +141,14 @@
     RecordLayout(77, "Lose", "who:H txn:I"),
     RecordLayout(78, "OverloadReply", "who:H txn:I pause:d no-retry:B"),
 )
-_EVENT_BY_CODE = {layout.code: layout for layout in EVENTS}
-_ACTION_BY_CODE = {layout.code: layout for layout in ACTIONS}
-_EVENT_BY_NAME = {layout.name: layout for layout in EVENTS}
-_ACTION_BY_NAME = {layout.name: layout for layout in ACTIONS}
+_EVENT_BY_CODE = {layout.code: layout for layout in EVENT_LAYOUTS}
+_ACTION_BY_CODE = {layout.code: layout for layout in ACTION_LAYOUTS}
+_EVENT_BY_NAME = {layout.name: layout for layout in EVENT_LAYOUTS}
+_ACTION_BY_NAME = {layout.name: layout for layout in ACTION_LAYOUTS}
 
 
 class Batch(NamedTuple):
-    """One frame of events."""
+    """A frame of events: the time, the number of the batch and the events."""
 
     now: float
     number: int
@@ -153,7 +156,7 @@
 
 
 class Reply(NamedTuple):
-    """One frame of actions: the number of the batch that it answers, and the actions."""
+    """A frame of actions: the number of the batch that it replies to, and the actions."""
 
     number: int
     actions: list[Record]
@@ -164,7 +167,7 @@
 ) -> list[Record]:
     tail = first + count * size
     if tail > len(frame):
-        raise WireError(f"{count} records do not fit a frame of {len(frame)} bytes")
+        raise WireError(f"{count} records do not fit in a frame of {len(frame)} bytes")
     records = []
     for start in range(first, tail, size):
         layout = layouts.get(frame[start])
@@ -175,22 +178,22 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
-    """Decode a complete frame of events, its length field included."""
-    if len(frame) < EVENT_HEADER.size:
-        raise WireError(f"a frame of {len(frame)} bytes holds no batch header")
-    length, count, now, number = EVENT_HEADER.unpack_from(frame)
+    """Decode a complete frame of events, including its length field."""
+    if len(frame) < BATCH_HEADER.size:
+        raise WireError(f"a frame of {len(frame)} bytes is too short for a batch header")
+    length, count, now, number = BATCH_HEADER.unpack_from(frame)
     if length + _LENGTH.size != len(frame):
-        raise WireError(f"length field says {length}, frame holds {len(frame) - _LENGTH.size}")
-    return Batch(now, number, _decode_records(frame, EVENT_HEADER.size, count, EVENT_SIZE, _EVENT_BY_CODE))
+        raise WireError(f"length field is {length}, but the actual length is {len(frame) - _LENGTH.size}")
+    return Batch(now, number, _decode_records(frame, BATCH_HEADER.size, count, EVENT_SIZE, _EVENT_BY_CODE))
 
 
 def decode_reply(frame: bytes) -> Reply:
-    """Decode a complete frame of actions, its length field included."""
+    """Decode a complete frame of actions, including its length field."""
     if len(frame) < REPLY_HEADER.size:
-        raise WireError(f"a frame of {len(frame)} bytes holds no reply header")
+        raise WireError(f"a frame of {len(frame)} bytes is too short for a reply header")
     length, count, number = REPLY_HEADER.unpack_from(frame)
     if length + _LENGTH.size != len(frame):
-        raise WireError(f"length field says {length}, frame holds {len(frame) - _LENGTH.size}")
+        raise WireError(f"length field is {length}, but the actual length is {len(frame) - _LENGTH.size}")
     return Reply(number, _decode_records(frame, REPLY_HEADER.size, count, ACTION_SIZE, _ACTION_BY_CODE))
 
 
@@ -198,8 +201,8 @@
     """Encode a frame of events."""
     tail = bytearray()
     body = b"".join(_EVENT_BY_NAME[name].pack(fields, EVENT_SIZE, tail) for name, fields in batch.events)
-    size = EVENT_HEADER.size - _LENGTH.size + len(body) + len(tail)
-    return EVENT_HEADER.pack(size, len(batch.events), batch.now, batch.number) + body + tail
+    size = BATCH_HEADER.size - _LENGTH.size + len(body) + len(tail)
+    return BATCH_HEADER.pack(size, len(batch.events), batch.now, batch.number) + body + tail
 
 
 def encode_reply(number: int, actions: Iterable[Record]) -> bytes:
@@ -212,26 +215,26 @@
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Read one frame, in as many pieces as it takes; None at a clean end of input."""
-    head = _read(stream, _LENGTH.size)
-    if not head:
+    """Read one frame, however many reads it takes; return None if the input ends between frames."""
+    length_field = _read(stream, _LENGTH.size)
+    if not length_field:
         return None
-    if len(head) < _LENGTH.size:
+    if len(length_field) < _LENGTH.size:
         raise WireError("input ended within a length field")
-    size = _LENGTH.unpack(head)[0]
+    size = _LENGTH.unpack(length_field)[0]
     body = _read(stream, size)
     if len(body) < size:
         raise WireError(f"input ended {size - len(body)} bytes before the end of a frame")
-    return head + body
+    return length_field + body
 
 
 def _read(stream: BinaryIO, size: int) -> bytes:
-    """Read so many bytes, or fewer where the input ends."""
-    pieces = []
+    """Read `size` bytes, or fewer if the input ends first."""
+    chunks = []
     while size > 0:
-        piece = stream.read(size)
-        if not piece:
+        chunk = stream.read(size)
+        if not chunk:
             break
-        pieces.append(piece)
-        size -= len(piece)
-    return b"".join(pieces)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
--- a/tests/simulation/test_adapter.py
+++ b/tests/simulation/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: hosting, settings by path, plain failure on bad input, determinism over processes."""
+"""The adapter: instances, settings, errors on invalid input, and the same replies in each process."""
 
 import io
 import subprocess
@@ -50,30 +50,46 @@
 """
 
 
-def _spawn(who: int, text: str = OPTIONS) -> Record:
-    return Record("Spawn", {"who": who, "rng-seed": 7, "options": text})
+def _spawn(instance: int, options: str = OPTIONS) -> Record:
+    return Record("Spawn", {"who": instance, "rng-seed": 7, "options": options})
 
 
-def _arrival(who: int, txn: int, src: int = 1, service: int = 0) -> Record:
-    return Record("Arrival", {"who": who, "txn": txn, "src": src, "service": service, "footprint": 20.0})
+def _arrival(instance: int, request_id: int, caller: int = 1, class_index: int = 0) -> Record:
+    return Record(
+        "Arrival",
+        {"who": instance, "txn": request_id, "src": caller, "service": class_index, "footprint": 20.0},
+    )
 
 
 def _reply(adapter: Adapter, now: float, number: int, *events: Record) -> list[Record]:
-    answered, actions = wire.decode_reply(adapter.answer(wire.encode_batch(Batch(now, number, list(events)))))
-    assert answered == number
+    number_in_reply, actions = wire.decode_reply(
+        adapter.answer(wire.encode_batch(Batch(now, number, list(events))))
+    )
+    assert number_in_reply == number
     return actions
 
 
-def test_settings_by_path() -> None:
-    s = config.parse_lines(OPTIONS)
-    assert (s.cores, s.memory_kb, s.callers, s.replicas, s.starts_cold) == (4, 9000.0, 3, 1, True)
-    assert (s.cancel_mode, s.load_advertisement, s.downstream, s.weight_by_work) == (
+def test_settings_are_parsed_from_option_paths() -> None:
+    settings = config.parse_lines(OPTIONS)
+    assert (
+        settings.cores,
+        settings.memory_kb,
+        settings.callers,
+        settings.replicas,
+        settings.starts_cold,
+    ) == (4, 9000.0, 3, 1, True)
+    assert (
+        settings.cancel_mode,
+        settings.load_advertisement,
+        settings.downstream,
+        settings.weight_by_work,
+    ) == (
         CancelMode.SUSPEND,
         LoadAdvertisement.WINDOW,
         DownstreamKind.TIER,
         True,
     )
-    look, pay = s.classes
+    look, pay = settings.classes
     assert (look.retry_safety, look.calls_downstream, look.weight_without_call) == (
         RetrySafety.IDEMPOTENT,
         True,
@@ -85,44 +101,44 @@
         3.0,
         0.25,
     )
-    assert s.gauges == ("cpu_busy", "runnable", "mem_used", "sockets")
-    assert s.tenants[0].quota_per_s == 12.0
+    assert settings.gauges == ("cpu_busy", "runnable", "mem_used", "sockets")
+    assert settings.tenants[0].quota_per_s == 12.0
 
 
-def test_a_request_is_run_and_instances_share_nothing() -> None:
+def test_requests_run_and_instances_share_no_state() -> None:
     adapter = Adapter()
     _reply(adapter, 0.0, 1, _spawn(1), _spawn(2))
     actions = _reply(adapter, 1.0, 2, _arrival(1, 10), _arrival(2, 10))
-    begun = [a.fields["who"] for a in actions if a.name == "Begin"]
-    assert begun == [1, 2]
-    ended = Record("RunOver", {"who": 1, "txn": 10, "how": 200, "spent": 0.2})
-    assert all(a.fields["who"] == 1 for a in _reply(adapter, 1.2, 3, ended))
+    instances_with_run = [action.fields["who"] for action in actions if action.name == "Begin"]
+    assert instances_with_run == [1, 2]
+    run_over = Record("RunOver", {"who": 1, "txn": 10, "how": 200, "spent": 0.2})
+    assert all(action.fields["who"] == 1 for action in _reply(adapter, 1.2, 3, run_over))
 
 
-def test_empty_batch_and_unknown_instance() -> None:
+def test_an_empty_batch_and_an_unknown_instance_get_an_empty_reply() -> None:
     adapter = Adapter()
     assert _reply(adapter, 0.0, 1) == []
     assert _reply(adapter, 0.0, 2, _arrival(9, 1)) == []
 
 
-def test_retire_and_spawn_of_one_number_in_one_batch_starts_afresh() -> None:
+def test_retire_and_spawn_of_an_instance_in_one_batch_give_it_a_new_controller() -> None:
     adapter = Adapter()
     _reply(adapter, 0.0, 1, _spawn(1))
     _reply(adapter, 1.0, 2, _arrival(1, 10))
-    old = adapter.controllers[1]
+    old_controller = adapter.controllers[1]
     _reply(adapter, 2.0, 3, Record("Retire", {"who": 1}), _spawn(1))
-    assert adapter.controllers[1] is not old
+    assert adapter.controllers[1] is not old_controller
     assert adapter.controllers[1].state.requests.by_id == {}
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("options", "message_part"),
     [(OPTIONS.replace("cores=4", "cores=0"), "core"), (OPTIONS.replace("s.count=2", "s.count=0"), "classes")],
 )
-def test_settings_without_sense_become_an_exception_with_text(text: str, said: str) -> None:
-    actions = _reply(Adapter(), 0.0, 1, _spawn(1, text))
-    assert [a.name for a in actions] == ["Exception"]
-    assert said in str(actions[0].fields["text"])
+def test_invalid_settings_become_an_exception_record(options: str, message_part: str) -> None:
+    actions = _reply(Adapter(), 0.0, 1, _spawn(1, options))
+    assert [action.name for action in actions] == ["Exception"]
+    assert message_part in str(actions[0].fields["text"])
 
 
 def test_serve_stops_at_the_end_of_input() -> None:
@@ -131,32 +147,32 @@
     assert sink.getvalue() == wire.encode_reply(1, []) + wire.encode_reply(2, [])
 
 
-def _process(data: bytes) -> "subprocess.CompletedProcess[bytes]":
+def _run_adapter(frames: bytes) -> "subprocess.CompletedProcess[bytes]":
     command = [sys.executable, "-m", "shelfhaven.simulation"]
-    return subprocess.run(command, input=data, capture_output=True, timeout=30, check=False)
+    return subprocess.run(command, input=frames, capture_output=True, timeout=30, check=False)
 
 
-def test_bad_input_is_one_plain_line_and_a_failing_exit() -> None:
-    done = _process(wire.encode_batch(Batch(0.0, 1, []))[:-2])
-    assert done.returncode != 0
-    assert done.stdout == b""
-    assert done.stderr.decode().startswith("shelfhaven: input ended")
-    assert done.stderr.count(b"\n") == 1
+def test_invalid_input_prints_one_line_and_ends_with_an_error_status() -> None:
+    completed = _run_adapter(wire.encode_batch(Batch(0.0, 1, []))[:-2])
+    assert completed.returncode != 0
+    assert completed.stdout == b""
+    assert completed.stderr.decode().startswith("shelfhaven: input ended")
+    assert completed.stderr.count(b"\n") == 1
 
 
-def test_unknown_outcome_is_not_guessed() -> None:
+def test_an_unknown_outcome_is_an_error() -> None:
     adapter = Adapter()
     _reply(adapter, 0.0, 1, _spawn(1))
     with pytest.raises(wire.WireError, match="unknown outcome 299"):
         _reply(adapter, 0.1, 2, Record("RunOver", {"who": 1, "txn": 1, "how": 299, "spent": 0.0}))
 
 
-def test_the_same_events_give_the_same_bytes_in_two_processes() -> None:
+def test_two_processes_reply_to_the_same_events_with_the_same_bytes() -> None:
     frames = [wire.encode_batch(Batch(0.0, 1, [_spawn(1), _spawn(2)]))]
     for n in range(60):
-        events = [_arrival(1 + n % 2, 100 + n, src=n % 5, service=n % 2)]
+        events = [_arrival(1 + n % 2, 100 + n, caller=n % 5, class_index=n % 2)]
         frames.append(wire.encode_batch(Batch(0.05 * n, n + 2, events)))
-    first, second = _process(b"".join(frames)), _process(b"".join(frames))
+    first, second = _run_adapter(b"".join(frames)), _run_adapter(b"".join(frames))
     assert first.returncode == 0
     assert len(first.stdout) > 60 * 12
     assert first.stdout == second.stdout
--- a/tests/simulation/test_wire.py
+++ b/tests/simulation/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the frames that the wire's description shows, and against bad frames."""
+"""The codec, checked with the example frames of the protocol description and with invalid frames."""
 
 import io
 import math
@@ -29,14 +29,14 @@
 )
 
 
-def test_decodes_the_documented_empty_frames() -> None:
+def test_documented_empty_frames() -> None:
     batch = wire.decode_batch(EMPTY)
     assert (batch.number, batch.events) == (1, [])
     assert math.isclose(batch.now, 8.41225, rel_tol=1e-6)
     assert wire.encode_reply(1, []) == EMPTY_REPLY
 
 
-def test_decodes_the_documented_batch() -> None:
+def test_documented_batch_round_trips() -> None:
     batch = wire.decode_batch(BATCH)
     assert [event.name for event in batch.events] == ["Arrival", "Elapsed", "Gone"]
     arrival, elapsed, gone = (event.fields for event in batch.events)
@@ -54,7 +54,7 @@
     assert wire.encode_batch(batch) == BATCH
 
 
-def test_encodes_the_documented_reply() -> None:
+def test_documented_reply_round_trips() -> None:
     actions = [
         Record("Begin", {"who": 3, "txn": 0x5D3A91C4}),
         Record("SetAlarm", {"who": 3, "wait": 0.5, "ref": 77}),
@@ -64,7 +64,7 @@
     assert wire.decode_reply(REPLY) == (12, actions)
 
 
-def test_documented_refusal() -> None:
+def test_documented_overload_reply() -> None:
     fields: wire.Fields = {"who": 3, "txn": 0x0E6F2B19, "pause": 0.25, "no-retry": 1}
     frame = wire.encode_reply(1, [Record("OverloadReply", fields)])
     assert frame[12:] == bytes.fromhex("4e 0300 192b6f0e 000000000000d03f 01") + bytes(8)
@@ -72,12 +72,12 @@
 
 def _sample(layout: wire.RecordLayout) -> Record:
     fields: wire.Fields = {}
-    for number, name in enumerate(layout.names):
-        fields[name] = f"text {number}" if name in layout.texts else number + 1
+    for index, field in enumerate(layout.field_names):
+        fields[field] = f"text {index}" if field in layout.text_fields else index + 1
     return Record(layout.name, fields)
 
 
-@pytest.mark.parametrize("layout", wire.EVENTS, ids=lambda layout: layout.name)
+@pytest.mark.parametrize("layout", wire.EVENT_LAYOUTS, ids=lambda layout: layout.name)
 def test_every_event_round_trips(layout: wire.RecordLayout) -> None:
     batch = Batch(1.5, 9, [_sample(layout), _sample(layout)])
     frame = wire.encode_batch(batch)
@@ -85,22 +85,22 @@
     assert layout.struct.size <= wire.EVENT_SIZE
 
 
-@pytest.mark.parametrize("layout", wire.ACTIONS, ids=lambda layout: layout.name)
+@pytest.mark.parametrize("layout", wire.ACTION_LAYOUTS, ids=lambda layout: layout.name)
 def test_every_action_round_trips(layout: wire.RecordLayout) -> None:
     actions = [_sample(layout), _sample(layout)]
     assert wire.decode_reply(wire.encode_reply(4, actions)) == (4, actions)
     assert layout.struct.size <= wire.ACTION_SIZE
 
 
-class Dribble(io.BytesIO):
-    """Gives at most three bytes a read."""
+class ShortReads(io.BytesIO):
+    """A stream that returns at most three bytes from each read."""
 
     def read(self, size: int | None = -1) -> bytes:
         return super().read(min(3, size if size is not None and size >= 0 else 3))
 
 
-def test_reads_frames_in_pieces_and_ends_cleanly() -> None:
-    stream = Dribble(BATCH + EMPTY)
+def test_frames_are_read_in_several_reads_up_to_the_end_of_input() -> None:
+    stream = ShortReads(BATCH + EMPTY)
     assert wire.read_frame(stream) == BATCH
     assert wire.read_frame(stream) == EMPTY
     assert wire.read_frame(stream) is None
@@ -112,19 +112,19 @@
         wire.read_frame(io.BytesIO(BATCH[:cut]))
 
 
-def _with(frame: bytes, at: int, data: bytes) -> bytes:
-    return frame[:at] + data + frame[at + len(data) :]
+def _overwrite(frame: bytes, offset: int, data: bytes) -> bytes:
+    return frame[:offset] + data + frame[offset + len(data) :]
 
 
-def test_unknown_code_bad_count_and_bad_offset_are_errors() -> None:
+def test_unknown_code_wrong_count_and_wrong_offset_are_errors() -> None:
     with pytest.raises(wire.WireError, match="unknown record code 99"):
-        wire.decode_batch(_with(BATCH, 20, b"\x63"))
+        wire.decode_batch(_overwrite(BATCH, 20, b"\x63"))
     with pytest.raises(wire.WireError, match="do not fit"):
-        wire.decode_batch(_with(BATCH, 4, b"\x04"))
+        wire.decode_batch(_overwrite(BATCH, 4, b"\x04"))
     with pytest.raises(wire.WireError, match="length field"):
-        wire.decode_batch(_with(BATCH, 0, b"\xd1"))
+        wire.decode_batch(_overwrite(BATCH, 0, b"\xd1"))
     spawn = wire.encode_batch(Batch(0.0, 1, [Record("Spawn", {"who": 1, "rng-seed": 2, "options": "a=b"})]))
     with pytest.raises(wire.WireError, match="outside the tail"):
-        wire.decode_batch(_with(spawn, 20 + 11, b"\x04"))
-    with pytest.raises(wire.WireError, match="not text"):
+        wire.decode_batch(_overwrite(spawn, 20 + 11, b"\x04"))
+    with pytest.raises(wire.WireError, match="not valid UTF-8"):
         wire.decode_batch(spawn[:-3] + b"\xff\xfe\xfd")
