--- a/shelfhaven/decision/arrival.py
+++ b/shelfhaven/decision/arrival.py
@@ -10,16 +10,16 @@
 from shelfhaven.decision.settings import RetrySafety
 
 
-class Verdict(Enum):
+class ArrivalDecision(Enum):
     """What to do with an arrival."""
 
     ADMIT = "admit"
     ANSWER_FROM_ORIGINAL = "answer from original"
     REJECT = "reject"  # the caller may retry on another server
-    REJECT_EVERYWHERE = "reject everywhere"  # a retry on another server would be rejected as well
+    REJECT_WITHOUT_RETRY = "reject without retry"  # a retry on another server would be of no use
 
 
-def new_request(now: float, event: RequestArrived, state: ServerState) -> Request:
+def register_request(now: float, event: RequestArrived, state: ServerState) -> Request:
     """Create the request of an arrival, record it in all statistics and add it to the request table.
 
     The request is not queued yet.
@@ -46,19 +46,19 @@
     return request
 
 
-def judge(now: float, request: Request, state: ServerState) -> Verdict:
+def decide(now: float, request: Request, state: ServerState) -> ArrivalDecision:
     """Decide what to do with a new request."""
     has_key = request.settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY
     original_id = request.original_id
     if has_key and original_id is not None and not state.keys.was_rejected(original_id):
-        return Verdict.ANSWER_FROM_ORIGINAL
+        return ArrivalDecision.ANSWER_FROM_ORIGINAL
     if _must_reject(now, request, state):
-        return Verdict.REJECT
+        return ArrivalDecision.REJECT
     if request.hopeless_on_arrival:
-        return Verdict.REJECT_EVERYWHERE
+        return ArrivalDecision.REJECT_WITHOUT_RETRY
     if state.admission.should_shed(request, state.callers.rejection_threshold(request.caller)):
-        return Verdict.REJECT_EVERYWHERE
-    return Verdict.ADMIT
+        return ArrivalDecision.REJECT_WITHOUT_RETRY
+    return ArrivalDecision.ADMIT
 
 
 def _must_reject(now: float, request: Request, state: ServerState) -> bool:
--- a/shelfhaven/decision/controller.py
+++ b/shelfhaven/decision/controller.py
@@ -14,7 +14,7 @@
 
 from shelfhaven.decision import arrival, events
 from shelfhaven.decision.actions import Action, FailRequest, RejectRequest, SetHealth, SetTimer
-from shelfhaven.decision.arrival import Verdict
+from shelfhaven.decision.arrival import ArrivalDecision
 from shelfhaven.decision.averages import CONTROL_INTERVAL_S
 from shelfhaven.decision.control_loop import ControlLoop
 from shelfhaven.decision.estimates import ControllerStatus, LearnedEstimates
@@ -70,7 +70,7 @@
         state = self.state
         return ControllerStatus(
             admitted_share=state.admission.admitted_share,
-            queue_wait=state.admission.relative_wait,
+            relative_queue_wait=state.admission.relative_wait,
             concurrency_limit=state.concurrency.limit,
             event_loop_lag=state.health.lag_detector.lag,
             warm_up_progress=state.warm_up.progress,
@@ -108,15 +108,15 @@
         if not 0 <= event.class_index < len(self.settings.classes):  # an answer is owed all the same
             self._lifecycle.actions.append(RejectRequest(event.request_id))
             return
-        request = arrival.new_request(now, event, self.state)
-        match arrival.judge(now, request, self.state):
-            case Verdict.ADMIT:
+        request = arrival.register_request(now, event, self.state)
+        match arrival.decide(now, request, self.state):
+            case ArrivalDecision.ADMIT:
                 self._lifecycle.enqueue(now, request)
-            case Verdict.ANSWER_FROM_ORIGINAL:
+            case ArrivalDecision.ANSWER_FROM_ORIGINAL:
                 self._lifecycle.answer_from_original(now, request)
-            case Verdict.REJECT:
+            case ArrivalDecision.REJECT:
                 self._lifecycle.reject(now, request, no_retry_elsewhere=False)
-            case Verdict.REJECT_EVERYWHERE:
+            case ArrivalDecision.REJECT_WITHOUT_RETRY:
                 self._lifecycle.reject(now, request, no_retry_elsewhere=True)
         if request.state is not RequestState.FINISHED:
             self._lifecycle.set_decision_timers(now, request)
--- a/shelfhaven/decision/estimates.py
+++ b/shelfhaven/decision/estimates.py
@@ -30,7 +30,7 @@
 
     Attributes:
         admitted_share: fraction of arrivals that are admitted.
-        queue_wait: mean of recent queue waits, as a multiple of the target wait.
+        relative_queue_wait: mean of recent queue waits, as a multiple of the target wait.
         concurrency_limit: number of requests that may run at the same time.
         event_loop_lag: mean time, in seconds, that recent requests waited before they were read.
         warm_up_progress: fraction of full speed, 1 once the server is warm.
@@ -40,7 +40,7 @@
     """
 
     admitted_share: float
-    queue_wait: float
+    relative_queue_wait: float
     concurrency_limit: float
     event_loop_lag: float
     warm_up_progress: float
--- a/shelfhaven/server/core_load.py
+++ b/shelfhaven/server/core_load.py
@@ -36,7 +36,7 @@
     """The controller's estimates, and the load level that goes out with answers."""
     return {
         "share": round(status.admitted_share, 3),
-        "wait": round(status.queue_wait, 3),
+        "wait": round(status.relative_queue_wait, 3),
         "cap": round(status.concurrency_limit, 3),
         "lag": round(status.event_loop_lag, 3),
         "warmth": round(status.warm_up_progress, 3),
