--- a/shelfhaven/decision/arrival.py
+++ b/shelfhaven/decision/arrival.py
@@ -1,4 +1,4 @@
-"""What becomes of an arrival: admitted, rejected, or answered from the original that it repeats."""
+"""The decision about an arrival: admit it, reject it, or answer it from the original that it duplicates."""
 
 from __future__ import annotations
 
@@ -10,27 +10,30 @@
 from shelfhaven.decision.settings import RetrySafety
 
 
-class Verdict(Enum):
+class ArrivalDecision(Enum):
     """What to do with an arrival."""
 
     ADMIT = "admit"
     ANSWER_FROM_ORIGINAL = "answer from original"
-    REJECT = "reject"  # another server may take it
-    REJECT_EVERYWHERE = "reject everywhere"  # a retry elsewhere would be of no use
+    REJECT = "reject"  # the caller may retry on another server
+    REJECT_WITHOUT_RETRY = "reject without retry"  # a retry on another server would be of no use
 
 
-def new_request(now: float, event: RequestArrived, state: ServerState) -> Request:
-    """Count an arrival in all measurements and take its request into the table, outside the queue."""
+def register_request(now: float, event: RequestArrived, state: ServerState) -> Request:
+    """Create the request of an arrival, record it in all statistics and add it to the request table.
+
+    The request is not queued yet.
+    """
     settings = state.settings.classes[event.class_index]
     caller = state.callers.record_arrival(event.caller, now)
     request = Request(event, settings, caller, now)
-    waited_before = state.attempt_limits.waited_before(
+    prior_wait = state.attempt_limits.estimate_prior_wait(
         event, caller, settings.deadline, state.settings.marks_retries
     )
-    if state.concurrency.has_spare_cores():  # then old attempts are served all the same
-        waited_before = 0.0
-    request.set_times(event, waited_before, state.shutdown.stops_at, state.answer_margin)
-    if waited_before > 0:
+    if state.concurrency.has_spare_cores():  # there is capacity to run old attempts too
+        prior_wait = 0.0
+    request.set_times(event, prior_wait, state.shutdown.stops_at, state.answer_margin)
+    if prior_wait > 0:
         answer_at = now + state.run_estimates.expected_run(request)
         request.hopeless_on_arrival = answer_at > request.worthless_at()
 
@@ -43,23 +46,27 @@
     return request
 
 
-def judge(now: float, request: Request, state: ServerState) -> Verdict:
-    """Decide about a new request."""
+def decide(now: float, request: Request, state: ServerState) -> ArrivalDecision:
+    """Decide what to do with a new request."""
     has_key = request.settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY
     original_id = request.original_id
     if has_key and original_id is not None and not state.keys.was_rejected(original_id):
-        return Verdict.ANSWER_FROM_ORIGINAL
+        return ArrivalDecision.ANSWER_FROM_ORIGINAL
     if _must_reject(now, request, state):
-        return Verdict.REJECT
+        return ArrivalDecision.REJECT
     if request.hopeless_on_arrival:
-        return Verdict.REJECT_EVERYWHERE
-    if state.admission.should_shed(request, state.callers.protection(request.caller)):
-        return Verdict.REJECT_EVERYWHERE
-    return Verdict.ADMIT
+        return ArrivalDecision.REJECT_WITHOUT_RETRY
+    if state.admission.should_shed(request, state.callers.rejection_threshold(request.caller)):
+        return ArrivalDecision.REJECT_WITHOUT_RETRY
+    return ArrivalDecision.ADMIT
 
 
 def _must_reject(now: float, request: Request, state: ServerState) -> bool:
-    """Whether it is rejected at any admitted share: no time, no memory, draining, stalled or unhealthy."""
+    """Return whether to reject a request whatever the admitted share is.
+
+    The reasons are: too little time left, arrival after the grace of a drain, too little memory, a stalled
+    server, and, on an unhealthy server, an expected run that ends after the latency objective.
+    """
     if request.decide_by(state.answer_margin) <= now:
         return True
     if state.shutdown.arrived_too_late(request.arrived_at):
