--- a/shelfhaven/idempotency/__init__.py
+++ b/shelfhaven/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency keys across nodes: a quorum of replicas reserves each key before its request runs."""
+"""Fleet-wide idempotency keys: a quorum of replicas reserves a key before its request runs."""
--- a/shelfhaven/idempotency/claimant.py
+++ b/shelfhaven/idempotency/claimant.py
@@ -1,4 +1,4 @@
-"""Names of claimants: a claimant of keys is one incarnation of a node, at the node's address."""
+"""Identity of claimants. A claimant is one incarnation of a node, and reserves idempotency keys."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimantIdentity:
-    """One incarnation of a node: its name, the address that peers reach it at, and the incarnation."""
+    """One incarnation of a node: the node's name, its address for peers, and the incarnation number."""
 
     name: str
     address: str
-    incarnation: int  # grows with each start of the node
+    incarnation: int  # increases with each start of the node
 
     @property
     def claimant(self) -> str:
@@ -22,5 +22,5 @@
 
 
 def address_of(claimant: str) -> str:
-    """Return the address of a claimant's node."""
+    """Return the node address that a claimant's name contains."""
     return claimant.partition(SEPARATOR)[0]
--- a/shelfhaven/idempotency/replica_messenger.py
+++ b/shelfhaven/idempotency/replica_messenger.py
@@ -1,4 +1,4 @@
-"""Queries of one node to the replicas, and the answers of the node's own replica if it is one."""
+"""Sends reservation queries to replicas, and answers queries with the votes of the node's own replica."""
 
 from __future__ import annotations
 
@@ -16,44 +16,44 @@
 from shelfhaven.membership.clock import boottime
 from shelfhaven.routing.hash_spread import spread
 
-SendDatagram: TypeAlias = Callable[[str, JsonValue], None]  # to an address, a JSON value
+SendDatagram: TypeAlias = Callable[[str, JsonValue], None]  # sends a JSON value to an address
 NO_ANSWER_EXPECTED = 0  # number of a query that is not answered
 
 
 class ReplicaMessenger:
-    """Sends queries to replicas; the node's own replica is asked directly."""
+    """Sends queries to replicas by datagram; calls the local replica, if there is one, directly."""
 
     def __init__(
         self,
         identity: ClaimantIdentity,
         endpoints: Mapping[str, ReplicaEndpoint],
-        own_replica: QuorumReplica | None,
+        local_replica: QuorumReplica | None,
         send: SendDatagram,
     ) -> None:
         self.identity = identity
         self.endpoints = endpoints
-        self.own_replica = own_replica
+        self.local_replica = local_replica
         self.send = send
 
     def request_votes(
         self, number: int, request: ReservationRequest, replicas: Iterable[str]
     ) -> VoteReply | None:
-        """Ask these replicas for their votes; return the own replica's vote if it is among them."""
+        """Ask these replicas for their votes; return the local replica's vote if it is among them."""
         replica_names = list(replicas)
         self._send_to_others(ReservationQuery(number, self.identity.address, request), replica_names)
-        if self.own_replica and self.identity.name in replica_names:
-            return self.own_replica.on_request(boottime(), request)
+        if self.local_replica and self.identity.name in replica_names:
+            return self.local_replica.on_request(boottime(), request)
         return None
 
     def release(self, request: ReservationRequest, replicas: Iterable[str]) -> None:
-        """Give the votes on a request back.
+        """Ask these replicas to release the key.
 
-        A replica that does not get the message frees the key when the reservation expires.
+        A replica that does not receive the message frees the key when the reservation expires.
         """
         query = ReservationQuery(NO_ANSWER_EXPECTED, self.identity.address, request, release=True)
         self._send_to_others(query, replicas)
-        if self.own_replica:
-            self.own_replica.on_release(request.key_digest, request.claimant, request.run)
+        if self.local_replica:
+            self.local_replica.on_release(request.key_digest, request.claimant, request.run)
 
     def _send_to_others(self, query: ReservationQuery, replicas: Iterable[str]) -> None:
         message = encode_message(query)
@@ -62,28 +62,28 @@
                 self.send(self.endpoints[name].address, message)
 
     def answer(self, query: ReservationQuery) -> None:
-        """Let the own replica answer another node's query."""
-        if self.own_replica is None:
+        """Pass another node's query to the local replica, and send back its vote."""
+        if self.local_replica is None:
             return
         request = query.request
         if query.release:
-            self.own_replica.on_release(request.key_digest, request.claimant, request.run)
+            self.local_replica.on_release(request.key_digest, request.claimant, request.run)
             return
-        reply = self.own_replica.on_request(boottime(), request)
+        reply = self.local_replica.on_request(boottime(), request)
         self.send(query.sender, encode_message(VoteAnswer(query.number, self.identity.name, reply)))
 
 
-def groups_of(endpoints: Mapping[str, ReplicaEndpoint]) -> dict[str, frozenset[str]]:
-    """Return the names of a set's replicas by the name of their group."""
+def replicas_by_group(endpoints: Mapping[str, ReplicaEndpoint]) -> dict[str, frozenset[str]]:
+    """Return the names of the replicas in each group, by the group's name."""
     groups = sorted({endpoint.group for endpoint in endpoints.values()})
     return {
-        f"claims/{group}": frozenset(name for name, one in endpoints.items() if one.group == group)
+        f"claims/{group}": frozenset(name for name, endpoint in endpoints.items() if endpoint.group == group)
         for group in groups
     }
 
 
-def group_for(key_digest: bytes, groups: Mapping[str, frozenset[str]]) -> frozenset[str]:
-    """Return the replicas that vote on a key, by rendezvous hashing of the key with the groups' names."""
+def replicas_for_key(key_digest: bytes, groups: Mapping[str, frozenset[str]]) -> frozenset[str]:
+    """Return the replicas that vote on a key: one group, chosen by rendezvous hashing on its name."""
     if len(groups) == 1:
         return next(iter(groups.values()))
     key = key_digest.hex()
--- a/shelfhaven/idempotency/run_results.py
+++ b/shelfhaven/idempotency/run_results.py
@@ -1,7 +1,7 @@
-"""What became of this node's own reservations, kept for other nodes whose clients repeat the request.
+"""Results of this node's runs, kept for other nodes that receive a duplicate of the same request.
 
-The table is bounded in reservations and in bytes of results. It never reports a run as not run unless it is
-certain of that: where it has forgotten, it answers that the run may have failed.
+The number of reservations and the bytes of their results are bounded. A run is reported as not run only if
+that is certain; if its reservation may have been evicted, it is reported as failed, since it may have run.
 """
 
 from __future__ import annotations
@@ -18,60 +18,60 @@
 from shelfhaven.idempotency.wire import JsonValue
 from shelfhaven.membership.clock import boottime
 
-MAX_RESULT_BYTES = 4 << 20  # of all results that are kept for others
-MAX_RESERVATIONS = 50_000  # reservations of this node whose ends are remembered
-MAX_WAITING_QUERIES = 128  # queries of other nodes that wait for the end of a run, at a time
+MAX_RESULT_BYTES = 4 << 20  # total size of the stored results
+MAX_RESERVATIONS = 50_000  # reservations of this node whose state is remembered
+MAX_WAITING_QUERIES = 128  # concurrent queries of other nodes that wait for a run to finish
 
 
 class RunState(Enum):
-    """The state of a reservation of this node."""
+    """The state of a reservation of this node and of its run."""
 
-    RUNNING = "running"  # or being reserved: it may run yet
+    RUNNING = "running"  # the key is being reserved, or the run is in progress
     SERVED = "served"
-    FAILED = "failed"  # it may have run, without a result
+    FAILED = "failed"  # it may have run, but there is no result
     NOT_RUN = "unrun"
 
 
 @dataclass(eq=False, slots=True)
-class OwnReservation:
-    """A reservation of this node and what became of its run."""
+class LocalReservation:
+    """A reservation of this node, and the state and result of its run."""
 
     request: ReservationRequest
-    replicas: frozenset[str]  # that were asked
-    forget_at: float  # no replica holds it any more
+    replicas: frozenset[str]  # the replicas that were asked for votes
+    expires_at: float  # time from which no replica holds the reservation
     state: RunState = RunState.RUNNING
     body: bytes = b""
-    ended: asyncio.Event | None = None  # created by the first who waits
+    finished: asyncio.Event | None = None  # created by the first query that waits for it
 
-    def end(self, state: RunState) -> None:
-        """Set the final state, and wake those who wait for it."""
+    def finish(self, state: RunState) -> None:
+        """Set the final state, and wake the queries that wait for it."""
         self.state = state
-        if self.ended:
-            self.ended.set()
+        if self.finished:
+            self.finished.set()
 
 
 @dataclass(frozen=True, slots=True)
 class ResultQuery:
-    """Another node's question what became of a claimant's run; it waits so many seconds for the end."""
+    """Another node's query for the result of a claimant's run."""
 
     key_digest: bytes
     claimant: str
-    wait: float
+    wait: float  # seconds to wait for a run that is in progress
 
 
 def encode_query(query: ResultQuery) -> bytes:
-    """Return a query as it is posted."""
+    """Return the body of the POST request for a query."""
     return orjson.dumps({"id": query.key_digest.hex(), "by": query.claimant, "wait": query.wait})
 
 
 def decode_query(raw: bytes) -> ResultQuery:
-    """Return the query that was posted. Raises ValueError, KeyError or TypeError."""
+    """Return the query in the body of a POST request. Raises ValueError, KeyError or TypeError."""
     fields: JsonValue = orjson.loads(raw)
     return ResultQuery(bytes.fromhex(fields["id"]), str(fields["by"]), float(fields["wait"]))
 
 
 def encode_result(state: RunState, body: bytes = b"") -> bytes:
-    """Return the answer to a query; only a run that was served has a body."""
+    """Return the answer to a query; only a served run has a body."""
     answer: dict[str, str] = {"state": state.value}
     if state is RunState.SERVED:
         answer["body"] = base64.b64encode(body).decode()
@@ -79,28 +79,28 @@
 
 
 class RunResults:
-    """The reservations of one incarnation of this node, and the results of their runs."""
+    """The reservations of this incarnation of the node, and the results of their runs."""
 
     def __init__(self, claimant: str) -> None:
         self.claimant = claimant
-        self.reservations: OrderedDict[bytes, OwnReservation] = OrderedDict()  # by key, the oldest first
-        self.result_sizes: OrderedDict[bytes, int] = OrderedDict()  # in bytes, by key, the oldest first
+        self.reservations: OrderedDict[bytes, LocalReservation] = OrderedDict()  # by key, oldest first
+        self.result_sizes: OrderedDict[bytes, int] = OrderedDict()  # in bytes, by key, oldest first
         self.result_bytes = 0
         self.waiting_queries = 0
-        # until then a reservation that is not known here may have run all the same
-        self.forgotten_until = float("-inf")
+        # until this time, a missing reservation may be one that was evicted after its run
+        self.uncertain_until = float("-inf")
 
-    def add(self, reservation: OwnReservation, now: float) -> None:
-        """Remember a new reservation; it replaces an earlier one of the same key."""
+    def add(self, reservation: LocalReservation, now: float) -> None:
+        """Add a new reservation; it replaces an earlier one of the same key."""
         key_digest = reservation.request.key_digest
-        self._forget(key_digest)
+        self._remove(key_digest)
         self.reservations[key_digest] = reservation
-        self._forget_oldest(now)
+        self._evict(now)
 
-    def store_body(self, reservation: OwnReservation, body: bytes) -> None:
-        """Store the result of a run; where there are too many bytes, the oldest results are dropped.
+    def store_body(self, reservation: LocalReservation, body: bytes) -> None:
+        """Store the result of a run; drop the oldest results beyond the limit on bytes.
 
-        A run whose result was dropped counts as failed: that it has run stays known.
+        A run whose result is dropped counts as failed, because it has run.
         """
         reservation.body = body
         self.result_sizes[reservation.request.key_digest] = len(body)
@@ -112,17 +112,17 @@
             oldest.state = RunState.FAILED
             oldest.body = b""
 
-    def _forget_oldest(self, now: float) -> None:
-        """Forget what no replica holds any more, and the oldest reservations where there are too many."""
+    def _evict(self, now: float) -> None:
+        """Remove expired reservations, and the oldest ones beyond the limit on reservations."""
         while True:
             oldest = next(iter(self.reservations.values()))
-            if oldest.forget_at > now:
+            if oldest.expires_at > now:
                 if len(self.reservations) <= MAX_RESERVATIONS:
                     return
-                self.forgotten_until = max(self.forgotten_until, oldest.forget_at)
-            self._forget(oldest.request.key_digest)
+                self.uncertain_until = max(self.uncertain_until, oldest.expires_at)
+            self._remove(oldest.request.key_digest)
 
-    def _forget(self, key_digest: bytes) -> None:
+    def _remove(self, key_digest: bytes) -> None:
         self.reservations.pop(key_digest, None)
         self.result_bytes -= self.result_sizes.pop(key_digest, 0)
 
@@ -132,26 +132,26 @@
             query = decode_query(raw)
         except (ValueError, KeyError, TypeError):
             return encode_result(RunState.FAILED)
-        if query.claimant != self.claimant:  # an earlier incarnation, which may have run it
+        if query.claimant != self.claimant:  # an earlier incarnation, which may have run the request
             return encode_result(RunState.FAILED)
         reservation = self.reservations.get(query.key_digest)
         if reservation is None:
-            is_certain = boottime() >= self.forgotten_until
+            is_certain = boottime() >= self.uncertain_until
             return encode_result(RunState.NOT_RUN if is_certain else RunState.FAILED)
         if reservation.state is RunState.RUNNING:
-            await self._wait_for_end(reservation, query.wait)
-        if reservation.state is RunState.RUNNING:  # nobody can say that it has not run
+            await self._wait_until_finished(reservation, query.wait)
+        if reservation.state is RunState.RUNNING:  # it may have run, or may run yet
             return encode_result(RunState.FAILED)
         return encode_result(reservation.state, reservation.body)
 
-    async def _wait_for_end(self, reservation: OwnReservation, wait: float) -> None:
+    async def _wait_until_finished(self, reservation: LocalReservation, wait: float) -> None:
         if wait <= 0 or self.waiting_queries >= MAX_WAITING_QUERIES:
             return
-        reservation.ended = reservation.ended or asyncio.Event()
+        reservation.finished = reservation.finished or asyncio.Event()
         self.waiting_queries += 1
         try:
             async with asyncio.timeout(min(wait, reservation.request.duration)):
-                await reservation.ended.wait()
+                await reservation.finished.wait()
         except TimeoutError:
             pass
         finally:
--- a/shelfhaven/idempotency/vote_snapshots.py
+++ b/shelfhaven/idempotency/vote_snapshots.py
@@ -1,23 +1,25 @@
-"""Snapshots of the votes of other replicas that shut down, kept until their next incarnation asks for them.
-
-This module does no I/O and reads no clock, and never gives one snapshot to two incarnations.
-
-A replica that starts has lost its votes, and grants nothing until every reservation has expired. One that
-shuts down in order has lost nothing yet: it votes no more, and leaves its votes with *one* other replica; its
-next incarnation takes them from there and continues at once. That no vote is lost rests on the following,
-each tested by a planted mistake in `lab/reservation_model.py`:
-
-- A replica grants nothing from before it reads its votes until it has ended.
-- It leaves a snapshot only if it has all votes: one that is still in quarantine has lost some, and leaves
-  nothing.
-- The snapshot is complete only with its last page, and that is sent to one replica alone.
-- One incarnation takes it, once. A later one has to wait: votes have been given since that it does not have.
-- It is valid for no longer than an incarnation without it needs until it votes: counted from a cover page
-  that was answered before the first vote was sent, so that no delay on the way makes it look younger.
-- The replica that leaves it, the one that keeps it and the one that takes it have one maximum duration
-  in their files.
-
-Messages carry durations and no times: what is delayed is held longer, never shorter.
+"""Stores the snapshots that other replicas send of their votes at shutdown, for their next incarnations.
+
+This module does no I/O and reads no clock. It never gives a snapshot to two incarnations.
+
+A replica that starts without its votes grants nothing until every earlier reservation has expired. A replica
+that shuts down gracefully still has its votes: it stops voting and sends a snapshot of them to *one* other
+replica. Its next incarnation fetches the snapshot from there and votes at once. The rules below ensure that
+no vote is lost; `lab/reservation_model.py` tests each rule with a variant of the model that breaks it:
+
+- A replica stops voting before it copies its votes, and does not vote again in that incarnation.
+- A replica sends a snapshot only if it has all of its votes. A replica in quarantine has lost some, and sends
+  none.
+- A snapshot is complete only with its last page, and that page is sent to one replica only.
+- Only one incarnation takes the snapshot. Later incarnations have to wait, because the snapshot lacks the
+  votes that were given since.
+- A snapshot expires when an incarnation without it might have left quarantine and voted. Its age counts from
+  a header page, which is acknowledged before the first vote is sent: network delays cannot make the snapshot
+  seem newer than it is.
+- The replica that sends the snapshot, the one that stores it and the incarnation that takes it are all
+  configured with the same maximum duration.
+
+Messages carry durations instead of timestamps: a delay makes a reservation last longer, never shorter.
 """
 
 from __future__ import annotations
@@ -27,14 +29,14 @@
 
 from shelfhaven.idempotency.quorum_replica import KEY_DIGEST_BYTES
 
-VOTES_PER_PAGE = 300  # a peer accepts posts of 64 KiB
+VOTES_PER_PAGE = 300  # keeps a page below 64 KiB, the largest post that a peer accepts
 MAX_SNAPSHOTS = 16
-MIN_PAGES = 2  # a cover and one page of votes
+MIN_PAGES = 2  # the header and one page of votes
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationVote:
-    """A vote that was granted, and the seconds until it expires."""
+    """A vote that granted a key, and the seconds until its reservation expires."""
 
     key_digest: bytes
     claimant: str
@@ -44,20 +46,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotPage:
-    """A page of a replica's snapshot; page 0 is the cover, which has no votes."""
+    """A page of a replica's snapshot; page 0 is the header, which has no votes."""
 
     replica: str
-    incarnation: int  # of the replica that leaves the snapshot
+    incarnation: int  # of the replica that sent the snapshot
     number: int
     page_count: int
-    max_duration: float  # seconds, as in the replica's file
+    max_duration: float  # seconds, as configured at the replica
     votes: tuple[ReservationVote, ...] = ()
 
 
 def split_into_pages(
     replica: str, incarnation: int, max_duration: float, votes: Sequence[ReservationVote]
 ) -> list[SnapshotPage]:
-    """Return a snapshot as a cover and at least one page of votes."""
+    """Return a snapshot as a header and at least one page of votes."""
     starts = range(0, max(1, len(votes)), VOTES_PER_PAGE)
     votes_by_page: list[tuple[ReservationVote, ...]] = [()]
     votes_by_page += [tuple(votes[start : start + VOTES_PER_PAGE]) for start in starts]
@@ -69,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredPage:
-    """The votes of a page, and when it arrived."""
+    """The votes of a page, and when the page arrived."""
 
     received_at: float
     votes: tuple[ReservationVote, ...]
@@ -77,11 +79,11 @@
 
 @dataclass(slots=True)
 class StoredSnapshot:
-    """A snapshot that is kept here, or the pages of it that have arrived."""
+    """A snapshot that is stored here; incomplete until its last page has arrived."""
 
     incarnation: int
     page_count: int
-    received_at: float  # when the cover arrived
+    received_at: float  # when the header arrived
     pages: list[StoredPage] = field(default_factory=list)
     taken_by: int | None = None  # incarnation
 
@@ -92,7 +94,7 @@
 
 
 class VoteSnapshots:
-    """The snapshots of other replicas at one node."""
+    """The snapshots of other replicas that one node stores."""
 
     def __init__(self, max_duration: float, max_votes: int) -> None:
         self.max_duration = max_duration
@@ -100,13 +102,13 @@
         self.snapshots: dict[str, StoredSnapshot] = {}  # by replica
 
     def put(self, now: float, page: SnapshotPage) -> bool:
-        """Keep a page; return whether it is kept. Pages are accepted in their order, each once."""
-        self._forget_expired(now)
+        """Store a page, and return whether it was accepted; pages must come in order, each once."""
+        self._remove_expired(now)
         if page.max_duration != self.max_duration:
             return False
         snapshot = self.snapshots.get(page.replica)
         if page.number == 0:
-            if not self._accepts_cover(page, snapshot):
+            if not self._accepts_header(page, snapshot):
                 return False
             snapshot = StoredSnapshot(page.incarnation, page.page_count, now)
             self.snapshots[page.replica] = snapshot
@@ -115,18 +117,18 @@
         snapshot.pages.append(StoredPage(now, page.votes))
         return True
 
-    def _accepts_cover(self, cover: SnapshotPage, existing: StoredSnapshot | None) -> bool:
-        if existing is not None and cover.incarnation <= existing.incarnation:
+    def _accepts_header(self, header: SnapshotPage, existing: StoredSnapshot | None) -> bool:
+        if existing is not None and header.incarnation <= existing.incarnation:
             return False
         if existing is None and len(self.snapshots) >= MAX_SNAPSHOTS:
             return False
-        return MIN_PAGES <= cover.page_count <= self.max_votes // VOTES_PER_PAGE + MIN_PAGES
+        return MIN_PAGES <= header.page_count <= self.max_votes // VOTES_PER_PAGE + MIN_PAGES
 
     def take(
         self, now: float, replica: str, incarnation: int, number: int, max_duration: float
     ) -> SnapshotPage | None:
-        """Return a page of votes for the replica's next incarnation; None if there is none for that one."""
-        self._forget_expired(now)
+        """Return a page of votes to the replica's next incarnation; None if there is none for it."""
+        self._remove_expired(now)
         snapshot = self.snapshots.get(replica)
         if snapshot is None or not snapshot.is_complete or incarnation <= snapshot.incarnation:
             return None
@@ -134,16 +136,17 @@
             return None
         if snapshot.taken_by not in (None, incarnation):
             return None
+        # set in any case: with another maximum duration, the incarnation may vote before the snapshot expires
         snapshot.taken_by = incarnation
         if max_duration != self.max_duration:
             return None
-        votes = _votes_at(now, snapshot.pages[number])
+        votes = _votes_in_force(now, snapshot.pages[number])
         return SnapshotPage(replica, snapshot.incarnation, number, snapshot.page_count, max_duration, votes)
 
-    def _forget_expired(self, now: float) -> None:
-        """Forget snapshots after the maximum duration.
+    def _remove_expired(self, now: float) -> None:
+        """Remove snapshots that are older than the maximum duration.
 
-        No vote of theirs is in force any more, and an incarnation that waited for that may have voted since.
+        Their reservations have expired, and an incarnation that waited out its quarantine may have voted.
         """
         expired = [
             replica
@@ -162,8 +165,8 @@
     )
 
 
-def _votes_at(now: float, page: StoredPage) -> tuple[ReservationVote, ...]:
-    """Return the votes of a page that are still in force."""
+def _votes_in_force(now: float, page: StoredPage) -> tuple[ReservationVote, ...]:
+    """Return the votes of a page whose reservations have not expired."""
     age = now - page.received_at
     votes = (
         ReservationVote(vote.key_digest, vote.claimant, vote.run, vote.seconds_left - age)
@@ -173,5 +176,5 @@
 
 
 def is_plausible(vote: ReservationVote, max_duration: float) -> bool:
-    """Return whether a replica may have given a vote."""
+    """Return whether a replica can have given this vote."""
     return len(vote.key_digest) == KEY_DIGEST_BYTES and 0 < vote.seconds_left <= 2 * max_duration
--- a/shelfhaven/idempotency/vote_transfer.py
+++ b/shelfhaven/idempotency/vote_transfer.py
@@ -1,7 +1,7 @@
-"""Transfer of votes over a restart: left with another replica, fetched by the next incarnation.
+"""Transfer of votes across a restart: stored at another replica, and fetched by the next incarnation.
 
-This module owns the posts of both sides. Which incarnation may have a snapshot is decided in
-`vote_snapshots.py`. The last page of a snapshot is never sent to two replicas, and no request waits for a
+This module makes and answers the POST requests for it. `vote_snapshots.py` decides which incarnation gets a
+snapshot. The last page of a snapshot is never sent to two replicas, and no client request waits for a
 transfer.
 """
 
@@ -29,20 +29,20 @@
 from shelfhaven.membership.signed_datagram import count, number, text
 from shelfhaven.server.log import Log
 
-PUT_PATH = "/claims/park"  # posted by peers
-TAKE_PATH = "/claims/take"  # posted by peers
+PUT_PATH = "/claims/park"  # peers post pages here
+TAKE_PATH = "/claims/take"  # peers post requests for pages here
 PAGE_TIMEOUT = 0.5  # seconds for one page
-FETCH_INTERVAL = 0.3  # seconds until replicas that gave no answer are asked again for a snapshot
-MAX_NAME_LENGTH = 128  # characters
+FETCH_INTERVAL = 0.3  # seconds until silent replicas are asked again for a snapshot
+MAX_NAME_LENGTH = 128  # characters of a replica's name or a hexadecimal key digest
 MAX_CLAIMANT_LENGTH = 128  # characters
-PAGE_FIELDS = 6
-VOTE_FIELDS = 4
+PAGE_FIELDS = 6  # elements of the JSON array for a page
+VOTE_FIELDS = 4  # elements of the JSON array for a vote
 TIME_DIGITS = 3  # decimal places of times in seconds
-NO_SNAPSHOT = b"null"  # answer of a replica that has none
+NO_SNAPSHOT = b"null"  # answer if there is no snapshot for the sender
 
 
 def encode(page: SnapshotPage) -> bytes:
-    """Return a page as it is posted."""
+    """Return the body of the POST request for a page."""
     votes = [
         [vote.key_digest.hex(), vote.claimant, vote.run, round(vote.seconds_left, TIME_DIGITS)]
         for vote in page.votes
@@ -53,13 +53,13 @@
 
 
 def decode(raw: bytes, max_duration: float) -> SnapshotPage:
-    """Return the page that was posted. Raises ValueError."""
+    """Return the page in the body of a POST request. Raises ValueError."""
     fields = orjson.loads(raw)
     if not isinstance(fields, list) or len(fields) != PAGE_FIELDS or not isinstance(fields[5], list):
-        raise ValueError("no page of a table")
+        raise ValueError("invalid snapshot page")
     votes = tuple(map(_decode_vote, fields[5]))
     if not all(is_plausible(vote, max_duration) for vote in votes):
-        raise ValueError("votes that no keeper gives")
+        raise ValueError("implausible vote in a snapshot page")
     incarnation, page_number, page_count = map(count, fields[1:4])
     replica = text(fields[0], MAX_NAME_LENGTH)
     return SnapshotPage(replica, incarnation, page_number, page_count, number(fields[4]), votes)
@@ -67,7 +67,7 @@
 
 def _decode_vote(raw: JsonValue) -> ReservationVote:
     if not isinstance(raw, list) or len(raw) != VOTE_FIELDS:
-        raise ValueError("no vote")
+        raise ValueError("invalid vote in a snapshot page")
     key_digest, claimant, run, seconds_left = raw
     return ReservationVote(
         bytes.fromhex(text(key_digest, MAX_NAME_LENGTH)),
@@ -78,16 +78,16 @@
 
 
 class SendStatus(Enum):
-    """Whether another replica has a snapshot."""
+    """Whether another replica stores the complete snapshot."""
 
     STORED = auto()
-    NOT_STORED = auto()  # certainly: it may be left with another replica
+    NOT_STORED = auto()  # it may safely be sent to a further replica
     UNKNOWN = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class SendOutcome:
-    """The end of an attempt to leave a snapshot with another replica."""
+    """The outcome of sending a snapshot to another replica, and the reason for a failure."""
 
     status: SendStatus
     reason: str = ""
@@ -95,13 +95,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotAnswer:
-    """A replica's answer: the votes of the previous incarnation, or None if it has no snapshot of them."""
+    """A replica's answer: the previous incarnation's reservations by key; None if it has no snapshot."""
 
     reservations: Mapping[bytes, Reservation] | None
 
 
 class VoteTransfer:
-    """One replica's part in transfers: its own votes, and snapshots of other replicas."""
+    """Hands over and restores the votes of one replica, and stores snapshots of other replicas."""
 
     def __init__(
         self,
@@ -114,9 +114,11 @@
         settings = replica.settings
         self.replica = replica
         self.identity = identity
-        self.max_duration = settings.max_duration * (1 + settings.drift)  # by the slowest clock
+        self.max_duration = settings.max_duration * (1 + settings.drift)  # allows for the slowest clock
         self.other_addresses = {
-            one.name: one.address for one in endpoints.values() if one.name != identity.name
+            endpoint.name: endpoint.address
+            for endpoint in endpoints.values()
+            if endpoint.name != identity.name
         }
         self.peer_rpc = peer_rpc
         self.log = log
@@ -136,7 +138,7 @@
         return orjson.dumps({"kept": is_stored})
 
     async def answer_take(self, raw: bytes) -> bytes:
-        """Give a page of a snapshot to the next incarnation of the replica that left it."""
+        """Return a page of a snapshot to the next incarnation of the replica that sent it."""
         try:
             fields = orjson.loads(raw)
             replica = text(fields["keeper"], MAX_NAME_LENGTH)
@@ -147,62 +149,62 @@
         page = self.snapshots.take(boottime(), replica, incarnation, page_number, max_duration)
         return encode(page) if page else NO_SNAPSHOT
 
-    # The replica's own votes
+    # Votes of the local replica
 
     async def hand_over(self, timeout: float) -> str | None:
-        """Vote no more, and leave the votes with another replica; return its name if it has all of them."""
+        """Stop voting, and send the votes to another replica; return its name if it has stored them all."""
         reservations = self.replica.close(boottime())
         if reservations is None:
-            self.log.event("keeper_left", to="", why="it waits itself: it may have forgotten votes")
+            self.log.event("keeper_left", to="", why="in quarantine: votes may be missing")
             return None
         now = boottime()
         votes = [
-            ReservationVote(key_digest, one.claimant, one.run, one.expires_at - now)
-            for key_digest, one in reservations.items()
-            if one.expires_at > now
+            ReservationVote(key_digest, reservation.claimant, reservation.run, reservation.expires_at - now)
+            for key_digest, reservation in reservations.items()
+            if reservation.expires_at > now
         ]
         deadline = now + timeout
         pages = split_into_pages(
             self.identity.name, self.identity.incarnation, self.replica.settings.max_duration, votes
         )
-        reason = "no keeper answered"
+        reason = "no replica answered"
         for name, address in self.other_addresses.items():
             outcome = await self._send_snapshot(address, pages, deadline)
             reason = outcome.reason
             if outcome.status is SendStatus.NOT_STORED:
                 continue
-            stored = outcome.status is SendStatus.STORED
-            self.log.event("keeper_left", to=name, votes=len(votes), whole=stored, why=reason)
-            return name if stored else None
+            is_stored = outcome.status is SendStatus.STORED
+            self.log.event("keeper_left", to=name, votes=len(votes), whole=is_stored, why=reason)
+            return name if is_stored else None
         self.log.event("keeper_left", to="", votes=len(votes), why=reason)
         return None
 
     async def _send_snapshot(self, address: str, pages: list[SnapshotPage], deadline: float) -> SendOutcome:
-        """Send all pages to a replica, until one of them is not kept."""
+        """Send all pages to a replica; stop at the first page that is not stored."""
         for page in pages:
             is_last = page is pages[-1]
-            # without its last page a snapshot is incomplete, whatever became of the others
-            lost = SendStatus.UNKNOWN if is_last else SendStatus.NOT_STORED
+            # without its last page a snapshot is incomplete, whatever happened to the earlier pages
+            failure_status = SendStatus.UNKNOWN if is_last else SendStatus.NOT_STORED
             timeout = min(PAGE_TIMEOUT, deadline - boottime())
             if timeout <= 0:
-                return SendOutcome(lost, "no time is left")
+                return SendOutcome(failure_status, "shutdown timeout exceeded")
             try:
                 raw = await self.peer_rpc.post(
                     address, self.identity.address, PUT_PATH, encode(page), timeout
                 )
                 is_stored = orjson.loads(raw).get("kept") is True
             except PeerRpcError as error:
-                return SendOutcome(lost if error.sent else SendStatus.NOT_STORED, str(error))
+                return SendOutcome(failure_status if error.sent else SendStatus.NOT_STORED, str(error))
             except (ValueError, AttributeError) as error:
-                return SendOutcome(lost, str(error))
+                return SendOutcome(failure_status, str(error))
             if not is_stored:
-                return SendOutcome(SendStatus.NOT_STORED, "it is not kept there")
+                return SendOutcome(SendStatus.NOT_STORED, "rejected by the replica")
         return SendOutcome(SendStatus.STORED)
 
     async def restore(self) -> bool:
-        """Ask the other replicas for the votes of the previous incarnation until all say that they have none.
+        """Fetch the votes of the previous incarnation, and return whether the local replica restored them.
 
-        Return whether the replica continues with them.
+        Silent replicas are asked again until all have answered, the quarantine ends or the replica closes.
         """
         unanswered = dict(self.other_addresses)
         while unanswered and self.replica.quarantine_left(boottime()) > 0 and not self.replica.closed:
@@ -221,9 +223,9 @@
         return False
 
     async def _fetch_snapshot(self, address: str) -> SnapshotAnswer | None:
-        """Return a replica's answer, None without one."""
+        """Return a replica's answer; None if there is no valid one."""
         reservations: dict[bytes, Reservation] = {}
-        page_number = 1  # the cover has no votes
+        page_number = 1  # page 0, the header, has no votes
         page_count = page_number + 1
         while page_number < page_count:
             try:
--- a/shelfhaven/idempotency/wire.py
+++ b/shelfhaven/idempotency/wire.py
@@ -1,7 +1,7 @@
 """Datagrams between claimants and replicas: a reservation query and its answer.
 
-Keys and values of the JSON objects are part of the format between nodes of different versions. A message is
-decoded completely or not at all.
+The keys and values of the JSON objects are a protocol between nodes that may run different versions. A
+message that is not entirely valid is rejected.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 )
 from shelfhaven.membership.signed_datagram import count, number, text
 
-MAX_TEXT_LENGTH = 128  # characters of a claimant's or replica's name
+MAX_TEXT_LENGTH = 128  # characters of a claimant's or replica's name, an address, or a hexadecimal key digest
 TIME_DIGITS = 3  # decimal places of times in seconds
 
-JsonValue: TypeAlias = Any  # a decoded JSON value whose shape is not known yet
+JsonValue: TypeAlias = Any  # a decoded JSON value that has not been validated
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationQuery:
-    """A request for a vote or, with `release`, for giving the vote back."""
+    """A request for a replica's vote or, with `release`, for its withdrawal."""
 
     number: int  # repeated in the answer
     sender: str  # address
@@ -43,7 +43,7 @@
 
 
 def encode_message(message: ReservationQuery | VoteAnswer) -> JsonValue:
-    """Return a message as the JSON object that is signed and sent."""
+    """Return the JSON object for a message, which the caller signs and sends."""
     if isinstance(message, ReservationQuery):
         return _encode_query(message)
     reply = message.reply
@@ -71,14 +71,14 @@
 
 
 def decode_message(raw: JsonValue) -> ReservationQuery | VoteAnswer:
-    """Return the message of a JSON object. Raises ValueError."""
+    """Return the message in a JSON object. Raises ValueError."""
     try:
         message_number = count(raw["n"])
         if "vote" in raw:
             return _decode_answer(message_number, raw)
         return _decode_query(message_number, raw)
     except (KeyError, TypeError, ValueError) as error:
-        raise ValueError(f"no claim: {error}") from None
+        raise ValueError(f"invalid reservation message: {error}") from None
 
 
 def _decode_answer(message_number: int, raw: JsonValue) -> VoteAnswer:
@@ -91,7 +91,7 @@
 def _decode_query(message_number: int, raw: JsonValue) -> ReservationQuery:
     key_digest = bytes.fromhex(text(raw["id"], MAX_TEXT_LENGTH))
     if len(key_digest) != KEY_DIGEST_BYTES or not isinstance(raw["release"], bool):
-        raise ValueError("no claim's name")
+        raise ValueError("invalid key digest or release flag")
     request = ReservationRequest(
         key_digest,
         text(raw["by"], MAX_TEXT_LENGTH),
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several processes of the program in three zones: a key runs once, whichever zone its tries come to."""
+"""Fleets of real processes in three zones: a key runs once, whichever zones receive its requests."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 from shelfhaven.lab.fault_links import Rule
 from tests.fleets import play
 
-RESERVATION_DURATION = 5.5  # seconds
+RESERVATION_DURATION = 5.5  # seconds; key TTL and deadline of `failover_fleet.TOPUP`
 
 
-def test_a_repeat_in_another_zone_gets_the_result_of_the_one_run() -> None:
+def test_duplicate_in_another_zone_gets_the_result_of_the_single_run() -> None:
     async def check() -> None:
         async with voting() as world:
             first = await world.topped_up(world.of("z0")[1], "k1")
             assert first
             assert first.status == 200
             for node in world.nodes:
-                again = await world.topped_up(node, "k1")
-                assert again
-                assert (again.status, again.body) == (200, first.body)
+                duplicate = await world.topped_up(node, "k1")
+                assert duplicate
+                assert (duplicate.status, duplicate.body) == (200, first.body)
             assert len(world.runs_of("k1")) == 1
             other = await world.topped_up(world.of("z1")[0], "k1", b"another amount")
             assert other
-            assert other.status == 200, "another request under the same key is another"
+            assert other.status == 200, "another body under the same key is a different request"
             world.ran.remove(world.runs_of("k1")[1])
-            # in hand still: the second waits for it, as it would at the same node
+            # the run is still in progress: the duplicate waits for it, as it would at the same node
             for backend in world.backends.values():
                 backend.release.clear()
             tasks = [
@@ -43,14 +43,14 @@
             await asyncio.sleep(0.3)
             for backend in world.backends.values():
                 backend.release.set()
-            two = await asyncio.gather(*tasks)
-            assert [reply.status for reply in two if reply] == [200, 200]
+            replies = await asyncio.gather(*tasks)
+            assert [reply.status for reply in replies if reply] == [200, 200]
             assert len(world.runs_of("k2")) == 1
 
     play(check)
 
 
-def test_a_repeat_by_the_other_protocol_in_another_zone_gets_the_same_result() -> None:
+def test_duplicate_by_another_protocol_in_another_zone_gets_the_same_result() -> None:
     async def check() -> None:
         async with voting(with_routers=True) as world:
             body = base64.b64encode(b"100").decode()
@@ -64,73 +64,73 @@
             assert base64.b64decode(answer["result"]["body"]) == first.body
             router.request(2, "topup", dedupe="k2", body=body)
             second = await router.answer(2)
-            again = await world.topped_up(world.of("z2")[1], "k2")
-            assert again
-            assert again.body == base64.b64decode(second["result"]["body"])
+            duplicate = await world.topped_up(world.of("z2")[1], "k2")
+            assert duplicate
+            assert duplicate.body == base64.b64decode(second["result"]["body"])
             assert [len(world.runs_of(key)) for key in ("k1", "k2")] == [1, 1]
             await router.close()
 
     play(check)
 
 
-def test_what_ran_in_a_zone_that_is_lost_runs_nowhere_else_within_its_window() -> None:
+def test_run_in_a_failed_zone_is_not_repeated_elsewhere_within_its_key_ttl() -> None:
     async def check() -> None:
         async with voting() as world:
-            one = world.of("z1")[1]
-            first = await world.topped_up(one, "k1")
+            failing_node = world.of("z1")[1]
+            first = await world.topped_up(failing_node, "k1")
             assert first
             assert first.status == 200
-            at = time.time()
+            failed_at = time.time()
             for node in world.of("z1"):
                 await world.fleet.kill(node)
             world.backends["z1"].stop()
-            while time.time() - at < 2.5:
+            while time.time() - failed_at < 2.5:
                 for node in world.fleet.running():
-                    again = await world.topped_up(node, "k1")
-                    assert again
-                    assert again.status >= 500
-                    assert not again.not_run, "it may have run: nobody says that it has not"
+                    duplicate = await world.topped_up(node, "k1")
+                    assert duplicate
+                    assert duplicate.status >= 500
+                    assert not duplicate.not_run, "it may have run, so it must not be reported as not run"
             assert len(world.runs_of("k1")) == 1
             fresh = await world.topped_up(world.of("z0")[0], "k2")
             assert fresh
-            assert fresh.status == 200, "two zones are most of three"
-            await asyncio.sleep(max(0.0, at + RESERVATION_DURATION * 1.05 + 0.5 - time.time()))
+            assert fresh.status == 200, "two of three zones are a majority"
+            await asyncio.sleep(max(0.0, failed_at + RESERVATION_DURATION * 1.05 + 0.5 - time.time()))
             late = await world.topped_up(world.of("z2")[1], "k1")
             assert late
-            assert late.status == 200, "its window is over"
+            assert late.status == 200, "its reservation has expired"
             world.ran.remove(world.runs_of("k1")[1])
 
     play(check)
 
 
-def test_tries_at_all_nodes_at_once_run_at_most_once_and_each_is_answered() -> None:
+def test_concurrent_duplicates_at_all_nodes_run_at_most_once_and_each_is_answered() -> None:
     async def check() -> None:
         async with voting() as world:
             served = 0
             for number in range(12):
                 key = f"k{number}"
                 replies = await asyncio.gather(*(world.topped_up(node, key) for node in world.nodes))
-                assert all(replies), "one final answer each"
+                assert all(replies), "each request gets a final answer"
                 bodies = {reply.body for reply in replies if reply and reply.status == 200}
                 assert len(bodies) <= 1
                 assert len(world.runs_of(key)) == len(bodies)
                 served += len(bodies)
-                if not bodies:  # nobody had most of the votes: all were told that nothing ran
+                if not bodies:  # no node got a majority: all callers were told that nothing ran
                     assert all(reply.not_run for reply in replies if reply)
             assert served > 0
 
     play(check)
 
 
-def test_without_a_majority_of_replicas_keyed_requests_are_rejected_at_once_and_others_served() -> None:
+def test_without_a_majority_of_replicas_keyed_requests_are_rejected_at_once_and_others_are_served() -> None:
     async def check() -> None:
         async with voting() as world:
             for node in (world.nodes[0], world.nodes[1]):  # replicas of two zones
                 await world.fleet.kill(node)
-            began = time.monotonic()
+            started_at = time.monotonic()
             reply = await world.topped_up(world.nodes[5], "k1")
             assert reply
-            assert time.monotonic() - began < 1.0, "it is not held until its deadline"
+            assert time.monotonic() - started_at < 1.0, "it is not delayed until its deadline"
             assert reply.status in (429, 503)
             assert reply.not_run
             assert "retry-after" in reply.fields
@@ -138,43 +138,43 @@
             assert (await world.nodes[5].ask("GET", "/balance/1")).status == 200
             for node in (world.nodes[0], world.nodes[1]):
                 await world.fleet.start(node)
-            at = time.time()
+            restarted_at = time.time()
             replies: list[Reply] = []
             while not replies or replies[-1].status != 200:
-                got = await world.topped_up(world.nodes[5], "k1")
-                assert got
-                replies.append(got)
+                retry = await world.topped_up(world.nodes[5], "k1")
+                assert retry
+                replies.append(retry)
                 await asyncio.sleep(0.1)
             assert (
-                time.time() - at > RESERVATION_DURATION * 0.9
-            ), "restarted replicas vote for nobody until reservations have expired"
+                time.time() - restarted_at > RESERVATION_DURATION * 0.9
+            ), "restarted replicas grant nothing until reservations have expired"
             assert len(world.runs_of("k1")) == 1
 
     play(check)
 
 
-def test_a_replica_that_lost_its_votes_gives_no_second_run() -> None:
+def test_replicas_that_lost_their_votes_allow_no_second_run() -> None:
     async def check() -> None:
         async with voting() as world:
             first = await world.topped_up(world.nodes[3], "k1")
             assert first
             assert first.status == 200
-            for node in (world.nodes[1], world.nodes[2]):  # two of three forget
+            for node in (world.nodes[1], world.nodes[2]):  # two of three replicas lose their votes
                 await world.fleet.kill(node)
                 await world.fleet.start(node)
             await world.fleet.kill(world.nodes[3])
-            at = time.time()
-            while time.time() - at < 3.0:
-                again = await world.topped_up(world.nodes[4], "k1")
-                assert again
-                assert again.status != 200
+            killed_at = time.time()
+            while time.time() - killed_at < 3.0:
+                duplicate = await world.topped_up(world.nodes[4], "k1")
+                assert duplicate
+                assert duplicate.status != 200
                 await asyncio.sleep(0.1)
             assert len(world.runs_of("k1")) == 1
 
     play(check)
 
 
-def test_votes_that_are_lost_late_or_cut_off_cost_no_second_run_and_no_answer() -> None:
+def test_lost_and_late_votes_and_a_partition_cause_no_second_run_and_no_missing_answer() -> None:
     async def check() -> None:
         async with voting() as world:
             for name in world.fleet.nodes:
@@ -182,30 +182,30 @@
             world.cut("z2", store=False)
             replies = []
             for number in range(30):
-                zones = [
+                nodes = [
                     world.of("z0")[number % 2],
                     world.of("z1")[number % 2],
                     world.of("z2")[number % 2],
                 ]
-                replies += await asyncio.gather(*(world.topped_up(node, f"k{number}") for node in zones))
-            assert all(replies), "one final answer each"
+                replies += await asyncio.gather(*(world.topped_up(node, f"k{number}") for node in nodes))
+            assert all(replies), "each request gets a final answer"
             assert sum(reply.status == 200 for reply in replies if reply) > 10
-            far = [reply for reply in replies[2::3] if reply]
+            partitioned = [reply for reply in replies[2::3] if reply]
             assert all(
-                reply.status != 200 for reply in far
-            ), "a node that reaches one replica of three runs nothing"
+                reply.status != 200 for reply in partitioned
+            ), "a node that reaches only one of three replicas runs nothing"
 
     play(check)
 
 
-def test_a_run_that_never_began_frees_its_key_for_other_zones() -> None:
+def test_run_that_never_started_frees_its_key_for_other_zones() -> None:
     async def check() -> None:
         async with voting() as world:
             for backend in world.backends.values():
                 backend.mode = StubMode.REJECT
-            refused = await world.topped_up(world.nodes[3], "k1")
-            assert refused
-            assert refused.not_run
+            rejected = await world.topped_up(world.nodes[3], "k1")
+            assert rejected
+            assert rejected.not_run
             for backend in world.backends.values():
                 backend.mode = StubMode.SERVE
             served = await world.topped_up(world.nodes[4], "k1")
--- a/tests/idempotency/test_replica_messenger.py
+++ b/tests/idempotency/test_replica_messenger.py
@@ -1,4 +1,4 @@
-"""Queries to replicas, and the votes of the node's own replica."""
+"""Sending of queries to replicas, and the votes of the local replica."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     ReservationRequest,
     VoteKind,
 )
-from shelfhaven.idempotency.replica_messenger import ReplicaMessenger, group_for, groups_of
+from shelfhaven.idempotency.replica_messenger import ReplicaMessenger, replicas_by_group, replicas_for_key
 
 REQUEST = ReservationRequest(bytes(16), "at-k1/7", 1, 10.0)
 
 
-class Messenger(ReplicaMessenger):
-    """A messenger of a replica, with all that it sends."""
+class RecordingMessenger(ReplicaMessenger):
+    """A messenger of a node with a replica; records what it sends."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, wire.ReservationQuery | wire.VoteAnswer]] = []
         endpoints = {name: ReplicaEndpoint(name, name, f"at-{name}") for name in ("k1", "k2", "k3")}
         replica = QuorumReplica(QuorumReplicaSettings(10.0), -100.0)
-        super().__init__(ClaimantIdentity("k1", "at-k1", 7), endpoints, replica, self.keep)
+        super().__init__(ClaimantIdentity("k1", "at-k1", 7), endpoints, replica, self.record)
 
-    def keep(self, address: str, message: Any) -> None:
+    def record(self, address: str, message: Any) -> None:
         self.sent.append((address, wire.decode_message(message)))
 
 
-def test_other_replicas_are_asked_by_datagram_and_the_own_one_at_once() -> None:
-    messenger = Messenger()
+def test_other_replicas_are_asked_by_datagram_and_the_local_one_directly() -> None:
+    messenger = RecordingMessenger()
     reply = messenger.request_votes(5, REQUEST, ["k1", "k2", "k3"])
     assert reply
     assert reply.kind is VoteKind.GRANTED
@@ -42,19 +42,19 @@
     assert messenger.request_votes(5, REQUEST, ["k2"]) is None
 
 
-def test_a_release_goes_to_all_replicas_and_frees_the_key_at_the_own_one() -> None:
-    messenger = Messenger()
-    assert messenger.own_replica
+def test_release_is_sent_to_other_replicas_and_frees_the_key_at_the_local_one() -> None:
+    messenger = RecordingMessenger()
+    assert messenger.local_replica
     messenger.request_votes(5, REQUEST, ["k1"])
-    assert messenger.own_replica.reservations
+    assert messenger.local_replica.reservations
     messenger.release(REQUEST, ["k1", "k2"])
     assert messenger.sent == [("at-k2", wire.ReservationQuery(0, "at-k1", REQUEST, release=True))]
-    assert not messenger.own_replica.reservations
+    assert not messenger.local_replica.reservations
 
 
-def test_a_query_of_another_node_is_answered_and_a_release_is_not() -> None:
-    messenger = Messenger()
-    assert messenger.own_replica
+def test_query_of_another_node_is_answered_and_a_release_is_not() -> None:
+    messenger = RecordingMessenger()
+    assert messenger.local_replica
     query = wire.ReservationQuery(9, "at-n5", REQUEST)
     messenger.answer(query)
     ((address, answer),) = messenger.sent
@@ -63,16 +63,16 @@
     assert (answer.number, answer.replica, answer.reply.kind) == (9, "k1", VoteKind.GRANTED)
     messenger.answer(wire.ReservationQuery(9, "at-n5", REQUEST, release=True))
     assert len(messenger.sent) == 1
-    assert not messenger.own_replica.reservations
+    assert not messenger.local_replica.reservations
 
 
-def test_each_key_has_one_group_and_groups_have_keys_of_their_own() -> None:
+def test_each_key_belongs_to_one_group_and_each_group_has_keys() -> None:
     endpoints = {
         f"{zone}{group}": ReplicaEndpoint(f"{zone}{group}", zone, "", group)
         for zone in "abc"
         for group in (0, 1)
     }
-    groups = groups_of(endpoints)
+    groups = replicas_by_group(endpoints)
     assert groups == {"claims/0": {"a0", "b0", "c0"}, "claims/1": {"a1", "b1", "c1"}}
-    chosen = {group_for(number.to_bytes(16, "big"), groups) for number in range(40)}
+    chosen = {replicas_for_key(number.to_bytes(16, "big"), groups) for number in range(40)}
     assert chosen == set(groups.values())
--- a/tests/idempotency/test_reservation_model.py
+++ b/tests/idempotency/test_reservation_model.py
@@ -1,4 +1,4 @@
-"""The model of reservations holds in every state, and finds each planted mistake."""
+"""The model of reservations keeps its invariant in every state, and each deliberate mistake violates it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from shelfhaven.lab.reservation_model import SMALL, Mistake, Model, with_mistake
 
 
-def test_the_model_holds_in_every_state_there_is() -> None:
+def test_model_keeps_its_invariant_in_every_state() -> None:
     for model in (Model(), SMALL):
-        found = model.search()
-        assert found.steps is None
-        assert found.states > 50_000
-        print(f"{found.states} states")
+        result = model.search()
+        assert result.steps is None
+        assert result.states > 50_000
+        print(f"{result.states} states")
 
 
 @pytest.mark.parametrize("mistake", [mistake for mistake in Mistake if mistake is not Mistake.NONE])
-def test_each_planted_mistake_is_found_by_the_model(mistake: Mistake) -> None:
+def test_search_finds_a_violation_for_each_mistake(mistake: Mistake) -> None:
     assert with_mistake(mistake).search().steps is not None
--- a/tests/idempotency/test_vote_snapshots.py
+++ b/tests/idempotency/test_vote_snapshots.py
@@ -1,4 +1,4 @@
-"""Votes of replicas that shut down: who keeps them, who gets them, and that none is lost by that."""
+"""Snapshots of votes: which are stored, which incarnation gets them, and that no vote is lost."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return ReservationRequest(key(number), claimant, 1, 8.0)
 
 
-def votes(count: int, left: float = 5.0) -> list[ReservationVote]:
-    return [ReservationVote(key(number), "at-x/1", number, left) for number in range(count)]
+def votes(count: int, seconds_left: float = 5.0) -> list[ReservationVote]:
+    return [ReservationVote(key(number), "at-x/1", number, seconds_left) for number in range(count)]
 
 
 def put_all(snapshots: VoteSnapshots, now: float, incarnation: int = 1, count: int = 2) -> list[bool]:
@@ -36,81 +36,87 @@
     ]
 
 
-def taken(snapshots: VoteSnapshots, now: float, incarnation: int) -> list[ReservationVote] | None:
-    found: list[ReservationVote] = []
+def take_all(snapshots: VoteSnapshots, now: float, incarnation: int) -> list[ReservationVote] | None:
+    taken_votes: list[ReservationVote] = []
     number = 1
     last_number = 1
     while number <= last_number:
         page = snapshots.take(now, "k", incarnation, number, MAX_DURATION)
         if page is None:
             return None
-        found += page.votes
+        taken_votes += page.votes
         number += 1
         last_number = page.page_count - 1
-    return found
+    return taken_votes
 
 
-def test_a_snapshot_is_given_completely_to_the_next_incarnation_once_with_the_time_that_is_left() -> None:
+def test_only_the_next_incarnation_gets_the_whole_snapshot_with_the_remaining_times() -> None:
     snapshots = VoteSnapshots(MAX_DURATION, 10_000)
     assert all(put_all(snapshots, 100.0, count=2 * VOTES_PER_PAGE + 1))
     for _ in range(2):
-        found = taken(snapshots, 102.0, 2)
-        assert found
-        assert [one.key_digest for one in found] == [key(number) for number in range(2 * VOTES_PER_PAGE + 1)]
-        assert {one.seconds_left for one in found} == {3.0}
-    assert taken(snapshots, 102.0, 3) is None, "votes have been given since that it has not"
-    assert taken(snapshots, 102.0, 1) is None, "the incarnation that left it has ended"
-    assert taken(snapshots, 105.1, 2) == [], "they are over"
-
-
-def test_a_snapshot_is_none_before_its_last_page_out_of_order_or_too_old() -> None:
-    made = split_into_pages("k", 1, MAX_DURATION, votes(VOTES_PER_PAGE + 1))
-    assert len(made) == 3
-    assert made[0].votes == (), "a cover, answered before any vote is sent"
+        taken_votes = take_all(snapshots, 102.0, 2)
+        assert taken_votes
+        assert [vote.key_digest for vote in taken_votes] == [
+            key(number) for number in range(2 * VOTES_PER_PAGE + 1)
+        ]
+        assert {vote.seconds_left for vote in taken_votes} == {3.0}
+    assert take_all(snapshots, 102.0, 3) is None, "the snapshot lacks the votes that incarnation 2 has given"
+    assert take_all(snapshots, 102.0, 1) is None, "incarnation 1 sent the snapshot and has ended"
+    assert take_all(snapshots, 105.1, 2) == [], "all reservations have expired"
+
+
+def test_incomplete_and_expired_snapshots_are_not_given_out_and_pages_must_be_in_order() -> None:
+    pages = split_into_pages("k", 1, MAX_DURATION, votes(VOTES_PER_PAGE + 1))
+    assert len(pages) == 3
+    assert pages[0].votes == (), "the header is acknowledged before any vote is sent"
     snapshots = VoteSnapshots(MAX_DURATION, 10_000)
-    assert not snapshots.put(0.0, made[1]), "no cover"
-    assert snapshots.put(0.0, made[0])
-    assert not snapshots.put(0.0, made[2])
-    assert snapshots.put(0.0, made[1])
-    assert not snapshots.put(0.0, made[1])
-    assert taken(snapshots, 0.0, 2) is None
-    assert snapshots.put(9.0, made[2])
-    assert taken(snapshots, 9.9, 2) is not None
+    assert not snapshots.put(0.0, pages[1]), "the header is missing"
+    assert snapshots.put(0.0, pages[0])
+    assert not snapshots.put(0.0, pages[2])
+    assert snapshots.put(0.0, pages[1])
+    assert not snapshots.put(0.0, pages[1])
+    assert take_all(snapshots, 0.0, 2) is None
+    assert snapshots.put(9.0, pages[2])
+    assert take_all(snapshots, 9.9, 2) is not None
     assert (
-        taken(snapshots, 10.0, 2) is None
-    ), "counted from the cover: an incarnation without it may have voted by now"
+        take_all(snapshots, 10.0, 2) is None
+    ), "10 s after the header, an incarnation without the snapshot may have voted"
 
 
-def test_only_a_later_incarnation_replaces_a_snapshot_and_files_that_differ_get_none() -> None:
+def test_only_a_later_incarnation_replaces_a_snapshot_and_max_durations_must_match() -> None:
     snapshots = VoteSnapshots(MAX_DURATION, 10_000)
     assert all(put_all(snapshots, 0.0, incarnation=5))
     assert put_all(snapshots, 1.0, incarnation=5) == [False, False]
     assert put_all(snapshots, 1.0, incarnation=4) == [False, False]
     assert all(put_all(snapshots, 2.0, incarnation=6))
     assert snapshots.take(2.0, "k", 7, 1, MAX_DURATION + 1) is None
-    assert taken(snapshots, 2.0, 8) is None, "an incarnation with another file may have voted before its time"
+    assert take_all(snapshots, 2.0, 8) is None, "incarnation 7 has a different quarantine and may have voted"
     assert not snapshots.put(0.0, SnapshotPage("k", 9, 0, 2, MAX_DURATION + 1))
     for number in range(40):
         snapshots.put(3.0, SnapshotPage(f"k{number}", 1, 0, 2, MAX_DURATION))
     assert len(snapshots.snapshots) <= 16
     assert not VoteSnapshots(MAX_DURATION, 100).put(
         0.0, SnapshotPage("k", 1, 0, 1000, MAX_DURATION)
-    ), "more than a replica may hold"
+    ), "more pages than a replica's reservations can fill"
 
 
-def test_a_replica_that_leaves_votes_no_more_and_one_that_waits_has_nothing_to_leave() -> None:
+def test_closed_replica_stops_voting_and_a_replica_in_quarantine_has_no_snapshot() -> None:
     replica = QuorumReplica(QuorumReplicaSettings(MAX_DURATION, 0.0), 0.0)
     assert (
         QuorumReplica(QuorumReplicaSettings(MAX_DURATION, 0.0), 0.0).close(5.0) is None
-    ), "it may have forgotten votes"
+    ), "in quarantine: votes may be missing"
     assert replica.on_request(11.0, request(1, "a")).kind is VoteKind.GRANTED
-    held = replica.close(12.0)
-    assert held
-    assert [(id_, one.claimant) for id_, one in held.items()] == [(key(1), "a")]
+    reservations = replica.close(12.0)
+    assert reservations
+    assert [(key_digest, reservation.claimant) for key_digest, reservation in reservations.items()] == [
+        (key(1), "a")
+    ]
     assert replica.on_request(12.0, request(2, "a")).kind is VoteKind.UNABLE
-    after = QuorumReplica(QuorumReplicaSettings(MAX_DURATION, 0.0), 13.0)
-    assert after.restore(dict(held))
-    assert after.on_request(13.0, request(1, "b")).kind is VoteKind.TAKEN
-    assert after.on_request(13.0, request(2, "b")).kind is VoteKind.GRANTED
-    assert not after.restore({}), "it has voted"
-    assert after.on_request(19.5, request(1, "b")).kind is VoteKind.GRANTED, "its reservation has expired"
+    next_incarnation = QuorumReplica(QuorumReplicaSettings(MAX_DURATION, 0.0), 13.0)
+    assert next_incarnation.restore(dict(reservations))
+    assert next_incarnation.on_request(13.0, request(1, "b")).kind is VoteKind.TAKEN
+    assert next_incarnation.on_request(13.0, request(2, "b")).kind is VoteKind.GRANTED
+    assert not next_incarnation.restore({}), "it has granted a key"
+    assert (
+        next_incarnation.on_request(19.5, request(1, "b")).kind is VoteKind.GRANTED
+    ), "its reservation has expired"
--- a/tests/idempotency/test_wire.py
+++ b/tests/idempotency/test_wire.py
@@ -1,4 +1,4 @@
-"""Queries and votes on the wire."""
+"""Encoding and decoding of reservation queries and votes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from shelfhaven.idempotency.quorum_replica import ReservationRequest, VoteKind, VoteReply
 from shelfhaven.membership.signed_datagram import seal, unseal
 
-SECRET = b"a secret of the tests"
+SECRET = b"secret for tests"
 
 
 @given(st.binary(min_size=16, max_size=16), st.integers(0, 1 << 40), st.booleans(), st.sampled_from(VoteKind))
-def test_queries_and_answers_come_through_as_they_went_in(
+def test_queries_and_answers_survive_a_round_trip(
     key_digest: bytes, number: int, release: bool, vote: VoteKind
 ) -> None:
     query = wire.ReservationQuery(
@@ -27,13 +27,13 @@
         assert wire.decode_message(unseal(SECRET, data)) == message
 
 
-@pytest.mark.parametrize("text", [
+@pytest.mark.parametrize("raw", [
     b"{}", b"[]", b"7", b'{"n":1}', b'{"n":-1,"replica":"a","vote":"yes","by":"","left":0}',
     b'{"n":1,"replica":"a","vote":"maybe","by":"","left":0}',
     b'{"n":1,"replica":"a","vote":"yes","by":"","left":-1}',
     b'{"n":1,"from":"a","id":"00","by":"a","run":1,"hold":1,"gen":1,"release":false}',
     b'{"n":1,"from":"a","id":"zz","by":"a","run":1,"hold":1,"gen":1,"release":false}',
 ])  # fmt: skip
-def test_what_is_signed_and_makes_no_sense_is_no_message(text: bytes) -> None:
-    with pytest.raises(ValueError, match="no claim"):
-        wire.decode_message(orjson.loads(text))
+def test_signed_datagram_with_invalid_content_is_rejected(raw: bytes) -> None:
+    with pytest.raises(ValueError, match="invalid reservation message"):
+        wire.decode_message(orjson.loads(raw))
