--- a/tests/idempotency/test_wire.py
+++ b/tests/idempotency/test_wire.py
@@ -28,9 +28,9 @@
 
 
 @pytest.mark.parametrize("raw", [
-    b"{}", b"[]", b"7", b'{"n":1}', b'{"n":-1,"replica":"a","vote":"yes","by":"","left":0}',
-    b'{"n":1,"replica":"a","vote":"maybe","by":"","left":0}',
-    b'{"n":1,"replica":"a","vote":"yes","by":"","left":-1}',
+    b"{}", b"[]", b"7", b'{"n":1}', b'{"n":-1,"keeper":"a","vote":"yes","by":"","left":0}',
+    b'{"n":1,"keeper":"a","vote":"maybe","by":"","left":0}',
+    b'{"n":1,"keeper":"a","vote":"yes","by":"","left":-1}',
     b'{"n":1,"from":"a","id":"00","by":"a","run":1,"hold":1,"gen":1,"release":false}',
     b'{"n":1,"from":"a","id":"zz","by":"a","run":1,"hold":1,"gen":1,"release":false}',
 ])  # fmt: skip
