--- a/shelfhaven/backends/uwsgi_runner.py
+++ b/shelfhaven/backends/uwsgi_runner.py
@@ -32,7 +32,7 @@
     def launch(self, launch: messages.LaunchRun, run: Callable[[messages.LaunchRun], None]) -> None:
         """Have it begun by `run`, or report how it ended without that."""
 
-    def over(self, done: messages.RunCompleted) -> None:
+    def on_run_completed(self, done: messages.RunCompleted) -> None:
         """A run is over."""
 
 
@@ -90,7 +90,7 @@
     def tell(self, event: messages.RunnerEvent) -> None:
         """Report an event to the core, and ends of runs to the reservations before it."""
         if self.reservations and isinstance(event, messages.RunCompleted):
-            self.reservations.over(event)
+            self.reservations.on_run_completed(event)
         self.publish(event)
 
     def update(self, configs: Mapping[str, PoolConfig]) -> None:
--- a/shelfhaven/idempotency/quorum_client.py
+++ b/shelfhaven/idempotency/quorum_client.py
@@ -137,7 +137,7 @@
         if self.vote_transfer and self.hand_over_task is None:
             self.hand_over_task = self.tasks.start(self.vote_transfer.hand_over(timeout))
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the shutdown that `close` began is complete."""
         if self.hand_over_task:
             await asyncio.wait([self.hand_over_task])
@@ -178,7 +178,7 @@
             resend = loop.call_later(self.settings.resend_after, self._request_votes, number)
             pending.timers.append(resend)
 
-    def over(self, completed: messages.RunCompleted) -> None:
+    def on_run_completed(self, completed: messages.RunCompleted) -> None:
         """Record the result of a run that was reserved here, for nodes that receive its duplicates."""
         reservation = self.running.pop(completed.attempt_id, None)
         if reservation is None:
--- a/shelfhaven/idempotency/quorum_replica.py
+++ b/shelfhaven/idempotency/quorum_replica.py
@@ -67,7 +67,7 @@
     """Settings of a replica; times in seconds."""
 
     max_duration: float = 30.0  # of a reservation; also sets the length of the quarantine after a start
-    drift: float = 0.05  # fraction by which the rates of the nodes' clocks may differ
+    clock_drift: float = 0.05  # fraction by which the rates of the nodes' clocks may differ
     max_reservations: int = 50_000
     generation: int = 1  # of the configuration
 
@@ -142,7 +142,7 @@
 
     def quarantine_left(self, now: float) -> float:
         """Return the seconds until this replica may grant keys; 0 if it already may."""
-        quarantine = self.settings.max_duration * (1 + self.settings.drift)
+        quarantine = self.settings.max_duration * (1 + self.settings.clock_drift)
         return max(0.0, self.started_at + quarantine - now)
 
     def on_request(self, now: float, request: ReservationRequest) -> VoteReply:
@@ -156,7 +156,7 @@
             # the request arrived after one for a later run of the same claimant
             return VoteReply(VoteKind.GRANTED, request.claimant, reservation.expires_at - now)
         # the claimant detects its own duplicates, so it may be granted its key again
-        expires_at = now + request.duration * (1 + self.settings.drift)
+        expires_at = now + request.duration * (1 + self.settings.clock_drift)
         self.reservations[request.key_digest] = Reservation(request.claimant, request.run, expires_at)
         heapq.heappush(self.expiries, Expiry(expires_at, request.key_digest))
         self.granted_count += 1
--- a/shelfhaven/idempotency/vote_transfer.py
+++ b/shelfhaven/idempotency/vote_transfer.py
@@ -114,7 +114,7 @@
         settings = replica.settings
         self.replica = replica
         self.identity = identity
-        self.max_duration = settings.max_duration * (1 + settings.drift)  # allows for the slowest clock
+        self.max_duration = settings.max_duration * (1 + settings.clock_drift)  # allows for the slowest clock
         self.other_addresses = {
             endpoint.name: endpoint.address
             for endpoint in endpoints.values()
--- a/shelfhaven/operator_config/zones.py
+++ b/shelfhaven/operator_config/zones.py
@@ -203,7 +203,7 @@
     default = QuorumReplicaSettings(max_duration=longest)
     settings = QuorumReplicaSettings(
         max_duration=node.take("hold-most", positive_time, default.max_duration),
-        drift=node.take("drift", number(0.0, 0.5), default.drift),
+        clock_drift=node.take("drift", number(0.0, 0.5), default.clock_drift),
         max_reservations=node.take("most", integer(100, 10_000_000), default.max_reservations),
         generation=node.take("generation", integer(1), default.generation),
     )
--- a/shelfhaven/program/failover.py
+++ b/shelfhaven/program/failover.py
@@ -181,7 +181,7 @@
     async def disconnect(self, _left: float) -> None:
         """Wait until the votes on reserved keys are handed over."""
         if self.quorum_client:
-            await self.quorum_client.closed()
+            await self.quorum_client.wait_closed()
 
     async def stop(self) -> None:
         """Stop for good."""
--- a/tests/idempotency/test_quorum_client.py
+++ b/tests/idempotency/test_quorum_client.py
@@ -82,7 +82,7 @@
             self.client.receive(wire.encode_message(wire.VoteAnswer(query.number, replica, reply)))
 
     def complete(self, number: int, outcome: Outcome, body: bytes = b"") -> None:
-        self.client.over(messages.RunCompleted(f"c{number}", outcome, 0.1, body))
+        self.client.on_run_completed(messages.RunCompleted(f"c{number}", outcome, 0.1, body))
 
     async def result(self, number: int, claimant: str = "", wait: float = 0.0) -> Any:
         query = {"id": key(number).hex(), "by": claimant or self.client.identity.claimant, "wait": wait}
--- a/tests/idempotency/test_quorum_replica.py
+++ b/tests/idempotency/test_quorum_replica.py
@@ -20,7 +20,7 @@
 )
 from shelfhaven.idempotency.vote_count import ReservationResult, VoteCount, may_start
 
-SETTINGS = QuorumReplicaSettings(max_duration=11.0, drift=0.05, max_reservations=100)
+SETTINGS = QuorumReplicaSettings(max_duration=11.0, clock_drift=0.05, max_reservations=100)
 DURATION_WITH_DRIFT = 11.0 * 1.05  # seconds; of a reservation, and of the quarantine, by the replica's clock
 KEY_DIGEST = bytes(range(16))
 
