--- a/shelfhaven/election/fenced_target.py
+++ b/shelfhaven/election/fenced_target.py
@@ -1,10 +1,10 @@
-"""The HTTP client of a task's target: every request carries the fencing token, and a smaller one is rejected.
+"""HTTP client for the target of a singleton task; every request carries the task's fencing token.
 
-Owns the client and the header fields. It must never send without a `Permit`, nor retry by itself.
+The header `X-Fence` contains `TASK TOKEN`, and `Idempotency-Key` identifies the operation. A target that has
+seen a higher token of the task rejects the request with 412 (RFC 9110: Precondition Failed) and returns the
+highest token in `X-Fence`.
 
-The token goes in `X-Fence` as `TASK TOKEN`, the operation's own name in `Idempotency-Key`. A target that has
-seen a higher token of that task answers 412 (RFC 9110: a precondition does not hold) with the highest in
-`X-Fence`.
+The client sends a request only with a `Permit` and never retries it.
 """
 
 from __future__ import annotations
@@ -21,42 +21,44 @@
 
 FENCING_HEADER = "X-Fence"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
-ANSWER_MAX = 1 << 20  # bytes
-CONNECTIONS_MAX = 4
-TOKEN_DIGITS_MAX = 18  # decimal digits that always fit into 64 bits
+MAX_RESPONSE_BYTES = 1 << 20
+MAX_CONNECTIONS = 4
+MAX_TOKEN_DIGITS = 18  # decimal numbers of this length always fit into 64 bits
 
 
 class TargetError(ShelfhavenError):
-    """There was no good answer: the request may have been carried out."""
+    """The target sent no successful response; it may have executed the request nevertheless."""
 
 
 class FencedTarget:
-    """One service that a task acts on.
+    """A service that a singleton task acts on.
 
-    `fenced`: it checks tokens; else every request ends within the lease.
+    If the target checks fencing tokens (`checks_tokens`), it rejects the requests of former leaders itself.
+    Otherwise, each request must end while the leader's lease is certainly valid.
     """
 
-    def __init__(self, url: str, timeout: float, fenced: bool = True) -> None:
+    def __init__(self, url: str, timeout: float, checks_tokens: bool = True) -> None:
         self.url = url.rstrip("/")
         self.timeout = timeout
-        self.fenced = fenced
+        self.checks_tokens = checks_tokens
         self.client = SimpleAsyncHTTPClient(
-            force_instance=True, max_clients=CONNECTIONS_MAX, max_body_size=ANSWER_MAX
+            force_instance=True, max_clients=MAX_CONNECTIONS, max_body_size=MAX_RESPONSE_BYTES
         )
 
     @property
     def min_time_to_act(self) -> float:
-        """Seconds for which the node has to lead surely before a request leaves."""
-        return 0.0 if self.fenced else self.timeout
+        """Seconds for which the node must still be the leader when it sends a request."""
+        return 0.0 if self.checks_tokens else self.timeout
 
     async def send(self, permit: Permit, method: str, path: str, body: bytes, key: str) -> bytes:
-        """Send one request under an idempotency key; return the answer's body. Raises FencedOffError,
-        LeaseUncertainError and TargetError.
+        """Send a request with an idempotency key; return the body of the response.
+
+        Raises FencedOffError, LeaseUncertainError and TargetError.
         """
         time_left = permit.time_left()
-        if time_left <= self.min_time_to_act:  # the last check before it leaves
-            raise LeaseUncertainError("the lease may be over")
-        timeout = self.timeout if self.fenced else min(self.timeout, time_left)
+        if time_left <= self.min_time_to_act:  # the last check before the request is sent
+            raise LeaseUncertainError("the lease has too little time left")
+        timeout = self.timeout if self.checks_tokens else min(self.timeout, time_left)
         request = HTTPRequest(
             f"{self.url}/{quote(path)}",
             method,
@@ -68,23 +70,27 @@
         )
         try:
             async with asyncio.timeout(timeout):
-                answer = await self.client.fetch(request)
+                response = await self.client.fetch(request)
         except HTTPClientError as error:
             if error.code == HTTPStatus.PRECONDITION_FAILED and error.response:
-                highest = _highest_token(error.response.headers.get(FENCING_HEADER, ""))
+                highest = _parse_highest_token(error.response.headers.get(FENCING_HEADER, ""))
                 raise FencedOffError(highest) from None
             raise TargetError(str(error)) from None
         except (OSError, TimeoutError, ValueError) as error:
             raise TargetError(str(error) or type(error).__name__) from None
-        return answer.body
+        return response.body
 
     def close(self) -> None:
         """Close the client's connections."""
         self.client.close()
 
 
-def _highest_token(header: str) -> int:
-    """Return the token that a rejection names, 0 if it names none: then only this token counts as too low."""
-    last = header.rpartition(" ")[2]
-    is_number = last.isascii() and last.isdigit() and len(last) <= TOKEN_DIGITS_MAX
-    return int(last) if is_number else 0
+def _parse_highest_token(header: str) -> int:
+    """Return the highest token that a rejection reports.
+
+    Returns 0 if the header contains no valid token: then the target is only known to reject the token of
+    this request.
+    """
+    token = header.rpartition(" ")[2]
+    is_number = token.isascii() and token.isdigit() and len(token) <= MAX_TOKEN_DIGITS
+    return int(token) if is_number else 0
--- a/shelfhaven/election/reconcile_task.py
+++ b/shelfhaven/election/reconcile_task.py
@@ -1,6 +1,7 @@
-"""Finds out at the target what became of unresolved operations, those of this node and those of its peers.
+"""The singleton task that asks the target for the outcomes of unresolved operations of all nodes.
 
-Owns what nodes post to each other for that.
+The leader collects unresolved operations from this node and, by HTTP, from its peers. It asks the target
+about each operation, then tells the node that reported it that the operation is resolved.
 """
 
 from __future__ import annotations
@@ -22,23 +23,23 @@
 )
 from shelfhaven.server.log import Log
 
-UNRESOLVED_PATH, RESOLVED_PATH = "/unclear", "/settled"  # at peers
-PEERS_PER_ROUND = 4  # that are asked for their unresolved operations
-LOGGED_ANSWER_MAX = 200  # bytes of the target's answer
+UNRESOLVED_PATH, RESOLVED_PATH = "/unclear", "/settled"  # request paths at peers
+PEERS_PER_ROUND = 4  # peers that are asked for their unresolved operations in one round
+MAX_LOGGED_BYTES = 200  # of the target's answer
 
-PeerHandler: TypeAlias = Callable[[bytes], Awaitable[bytes]]  # takes a request's body, returns the answer's
+PeerHandler: TypeAlias = Callable[[bytes], Awaitable[bytes]]  # request body -> answer body
 
 
 @dataclass(frozen=True, slots=True)
 class CollectedOperations:
-    """Unresolved operations of a peer, of this node where `peer` is None."""
+    """Unresolved operations of one node."""
 
-    peer: str | None
+    peer: str | None  # the address of the node, None for this node
     operations: list[UnresolvedOperation]
 
 
 class ReconcileTask(LeaderTask):
-    """Reconciles while the node leads."""
+    """Resolves unresolved operations while the node is the leader."""
 
     def __init__(
         self,
@@ -49,14 +50,14 @@
         log: Log,
     ) -> None:
         self.target = target
-        self.interval = interval
+        self.interval = interval  # seconds between rounds
         self.local = local
         self.services = services
         self.log = log
         self.peers_polled = 0
 
     async def run(self, lease: LeaderLease) -> None:
-        """Reconcile until told to finish."""
+        """Reconcile in rounds until the lease says to finish."""
         backoff = FailureBackoff()
         while True:
             try:
@@ -77,8 +78,8 @@
         self.target.close()
 
     async def _collect(self) -> list[CollectedOperations]:
-        """Collect the oldest operations of this node and of a few peers, taken in turns."""
-        found = [CollectedOperations(None, self.local.oldest())]
+        """Collect the oldest operations of this node and of the next few peers in round-robin order."""
+        collected = [CollectedOperations(None, self.local.oldest())]
         addresses = sorted(self.services.addresses())
         for _ in range(min(PEERS_PER_ROUND, len(addresses))):
             self.peers_polled += 1
@@ -87,10 +88,10 @@
             if answer is None:
                 continue
             try:
-                found.append(CollectedOperations(peer, from_json_values(orjson.loads(answer))))
+                collected.append(CollectedOperations(peer, from_json_values(orjson.loads(answer))))
             except ValueError as error:
                 self.log.event("peer_unreadable", peer=peer, error=str(error))
-        return found
+        return collected
 
     async def _reconcile(self, lease: LeaderLease, peer: str | None, operation: UnresolvedOperation) -> None:
         body = orjson.dumps(
@@ -102,12 +103,12 @@
             }
         )
 
-        async def request(permit: Permit) -> bytes:
-            """Ask the target what became of the operation."""
+        async def ask_target(permit: Permit) -> bytes:
+            """Ask the target for the outcome of the operation."""
             return await self.target.send(permit, "POST", "reconcile", body, operation.id)
 
-        answer = await lease.act(request, self.target.min_time_to_act)
-        text = answer[:LOGGED_ANSWER_MAX].decode("utf-8", "replace")
+        answer = await lease.act(ask_target, self.target.min_time_to_act)
+        text = answer[:MAX_LOGGED_BYTES].decode("utf-8", "replace")
         self.log.event("reconciled", duty=lease.task, key=operation.id, said=text)
         if peer is None:
             self.local.resolve(operation.id)
@@ -116,14 +117,14 @@
 
 
 def peer_routes(local: UnresolvedOperations) -> dict[str, PeerHandler]:
-    """Return what this node answers to a peer that reconciles, by path."""
+    """Return the handlers of the requests that a reconciling peer sends to this node, by path."""
 
-    async def unresolved(_: bytes) -> bytes:
+    async def list_unresolved(_: bytes) -> bytes:
         """Return the oldest unresolved operations of this node."""
         return orjson.dumps(to_json_values(local.oldest()))
 
-    async def resolved(body: bytes) -> bytes:
-        """Forget an operation whose outcome the peer has found out."""
+    async def mark_resolved(body: bytes) -> bytes:
+        """Remove an operation whose outcome the peer has found out."""
         try:
             raw = orjson.loads(body)
             known = local.resolve(str(raw["id"]))
@@ -131,4 +132,4 @@
             return orjson.dumps({"refused": "no key"})
         return orjson.dumps({"known": known})
 
-    return {UNRESOLVED_PATH: unresolved, RESOLVED_PATH: resolved}
+    return {UNRESOLVED_PATH: list_unresolved, RESOLVED_PATH: mark_resolved}
--- a/shelfhaven/election/unresolved.py
+++ b/shelfhaven/election/unresolved.py
@@ -1,6 +1,7 @@
-"""Idempotent operations whose runs may have taken effect and brought no result, until somebody has found out.
+"""Unresolved operations: keyed requests that may have taken effect, but whose runs returned no result.
 
-Owns a bounded list of them. It must never answer for them: their keys stay with the core, for their TTL.
+A node keeps a bounded list of its own until their outcomes are found out (`reconcile_task.py`). The list is
+not used to answer requests: the core keeps the idempotency keys until their TTL expires.
 """
 
 from __future__ import annotations
@@ -9,39 +10,39 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-OPERATIONS_MAX = 1024  # that one node remembers
-ANSWER_MAX = 64  # operations of one answer to a peer
-TEXT_MAX = 512  # characters of a key, class or tenant
-FIELDS = 4  # of an operation in JSON
+MAX_OPERATIONS = 1024  # that a node keeps
+MAX_OPERATIONS_PER_ANSWER = 64  # that a node reports to a peer at once
+MAX_TEXT_LENGTH = 512  # characters of a key, class or tenant
+JSON_FIELDS = 4  # of an operation
 
 
 @dataclass(frozen=True, slots=True)
 class UnresolvedOperation:
-    """One operation: the class and tenant of its key, and since when it is unresolved (Unix seconds)."""
+    """An unresolved operation, identified by class, tenant and idempotency key."""
 
     request_class: str
     tenant: str
     key: str
-    since: float
+    since: float  # Unix time at which it became unresolved
 
     @property
     def id(self) -> str:
-        """Its name among all unresolved operations."""
+        """An identifier that is unique among all unresolved operations."""
         return f"{self.request_class}/{self.tenant}/{self.key}"
 
 
 class UnresolvedOperations:
-    """The unresolved operations of one node."""
+    """The unresolved operations of one node, oldest first."""
 
-    def __init__(self, max_operations: int = OPERATIONS_MAX) -> None:
+    def __init__(self, max_operations: int = MAX_OPERATIONS) -> None:
         self.max_operations = max_operations
         self.by_id: OrderedDict[str, UnresolvedOperation] = OrderedDict()
-        self.forgotten = 0  # for want of room, the oldest first
+        self.forgotten = 0  # operations that were dropped because the list was full or their key too long
         self.resolved = 0
 
     def add(self, operation: UnresolvedOperation) -> None:
-        """Remember an operation whose run ended without a result."""
-        if len(operation.key) > TEXT_MAX:
+        """Add an operation; the oldest one is dropped if the list is full."""
+        if len(operation.key) > MAX_TEXT_LENGTH:
             self.forgotten += 1
             return
         self.by_id[operation.id] = operation
@@ -50,36 +51,39 @@
             self.forgotten += 1
 
     def resolve(self, operation_id: str) -> bool:
-        """Forget an operation whose outcome has been found out; return whether it was known."""
-        known = self.by_id.pop(operation_id, None) is not None
-        if known:
+        """Remove an operation whose outcome is known now; return whether it was in the list."""
+        found = self.by_id.pop(operation_id, None) is not None
+        if found:
             self.resolved += 1
-        return known
+        return found
 
-    def oldest(self, count: int = ANSWER_MAX) -> list[UnresolvedOperation]:
-        """Return the oldest few."""
+    def oldest(self, count: int = MAX_OPERATIONS_PER_ANSWER) -> list[UnresolvedOperation]:
+        """Return the oldest operations, at most `count`."""
         return list(self.by_id.values())[:count]
 
 
 def to_json_values(operations: Sequence[UnresolvedOperation]) -> list[list[str | float]]:
-    """Return operations as values that JSON can hold."""
-    return [[one.request_class, one.tenant, one.key, one.since] for one in operations]
+    """Return operations as a JSON-serializable list."""
+    return [
+        [operation.request_class, operation.tenant, operation.key, operation.since]
+        for operation in operations
+    ]
 
 
 def from_json_values(raw: object) -> list[UnresolvedOperation]:
-    """Decode what a peer's JSON holds. Raises ValueError."""
-    if not isinstance(raw, list) or len(raw) > ANSWER_MAX:
-        raise ValueError("not a list of bounded length")
-    return [_decode_operation(one) for one in raw]
+    """Decode the operations in a peer's answer. Raises ValueError."""
+    if not isinstance(raw, list) or len(raw) > MAX_OPERATIONS_PER_ANSWER:
+        raise ValueError(f"not a list of at most {MAX_OPERATIONS_PER_ANSWER} operations")
+    return [_decode_operation(raw_operation) for raw_operation in raw]
 
 
 def _decode_operation(raw: object) -> UnresolvedOperation:
-    if not isinstance(raw, list) or len(raw) != FIELDS:
-        raise ValueError("a key that is none")
+    if not isinstance(raw, list) or len(raw) != JSON_FIELDS:
+        raise ValueError(f"invalid operation: not a list of {JSON_FIELDS} fields")
     request_class, tenant, key, since = raw
-    texts = (request_class, tenant, key)
-    if not all(isinstance(text, str) and len(text) <= TEXT_MAX for text in texts):
-        raise ValueError("a key that is none")
+    strings = (request_class, tenant, key)
+    if not all(isinstance(string, str) and len(string) <= MAX_TEXT_LENGTH for string in strings):
+        raise ValueError("invalid operation: class, tenant or key is invalid")
     if not isinstance(since, int | float):
-        raise ValueError("a key that is none")
+        raise ValueError("invalid operation: the time is not a number")
     return UnresolvedOperation(request_class, tenant, key, float(since))
--- a/tests/election/test_fenced_target.py
+++ b/tests/election/test_fenced_target.py
@@ -1,4 +1,4 @@
-"""The client of targets: tokens only grow, and nothing leaves without time to act."""
+"""FencedTarget: lower tokens are rejected, and no request is sent without enough time on the lease."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 from tests.election.helpers import run_bounded
 
 
-def test_a_target_takes_growing_tokens_and_names_the_highest() -> None:
+def test_a_target_rejects_lower_tokens_and_reports_the_highest() -> None:
     async def check() -> None:
-        book = FencedStore()
-        await book.start()
-        target = FencedTarget(book.url, 0.5)
-        now = [10.0]
+        service = FencedStore()
+        await service.start()
+        target = FencedTarget(service.url, 0.5)
+        time_left = [10.0]
 
-        def granted(fence: int) -> Permit:
-            return Permit("d", fence, lambda: now[0])
+        def permit(token: int) -> Permit:
+            return Permit("d", token, lambda: time_left[0])
 
-        await target.send(granted(5), "PUT", "x", b"1", "x")
-        with pytest.raises(FencedOffError) as seen:
-            await target.send(granted(4), "PUT", "y", b"1", "y")
-        assert seen.value.highest == 5
-        now[0] = 0.0
+        await target.send(permit(5), "PUT", "x", b"1", "x")
+        with pytest.raises(FencedOffError) as rejection:
+            await target.send(permit(4), "PUT", "y", b"1", "y")
+        assert rejection.value.highest == 5
+        time_left[0] = 0.0
         with pytest.raises(LeaseUncertainError):
-            await target.send(granted(6), "PUT", "z", b"1", "z")
-        now[0] = 10.0
+            await target.send(permit(6), "PUT", "z", b"1", "z")
+        time_left[0] = 10.0
         for mode in (Mode.FAIL, Mode.HANG):
-            book.mode = mode
+            service.mode = mode
             with pytest.raises(TargetError):
-                await target.send(granted(6), "PUT", "z", b"1", "z")
-        assert [effect.key for effect in book.applied("d")] == ["x"]
-        unfenced = FencedTarget(book.url, 0.5, fenced=False)
-        now[0] = 0.4
-        with pytest.raises(LeaseUncertainError):  # it might be answered after the lease
-            await unfenced.send(granted(6), "PUT", "z", b"1", "z")
+                await target.send(permit(6), "PUT", "z", b"1", "z")
+        assert [effect.key for effect in service.applied("d")] == ["x"]
+        target_without_checks = FencedTarget(service.url, 0.5, checks_tokens=False)
+        time_left[0] = 0.4
+        with pytest.raises(LeaseUncertainError):  # the answer might come after the lease has expired
+            await target_without_checks.send(permit(6), "PUT", "z", b"1", "z")
         target.close()
-        unfenced.close()
-        await book.stop()
+        target_without_checks.close()
+        await service.stop()
 
     run_bounded(check)
 
 
 @pytest.mark.parametrize("header", ["", "d", "d x", "d -1", "d " + 19 * "9", "d \u00b2"])
-def test_a_rejection_that_names_no_token_is_a_rejection_all_the_same(
+def test_a_rejection_without_a_valid_token_counts_as_a_rejection(
     header: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def check() -> None:
--- a/tests/election/test_reconcile_task.py
+++ b/tests/election/test_reconcile_task.py
@@ -1,4 +1,4 @@
-"""Reconciling: unresolved operations of all nodes are found out once; lists are bounded."""
+"""ReconcileTask and UnresolvedOperations; the task that watches the list service is tested local as well."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from shelfhaven.election.fenced_target import FencedTarget
 from shelfhaven.election.reconcile_task import ReconcileTask, peer_routes
 from shelfhaven.election.unresolved import (
-    TEXT_MAX,
+    MAX_TEXT_LENGTH,
     UnresolvedOperation,
     UnresolvedOperations,
     from_json_values,
@@ -27,13 +27,13 @@
 )
 
 
-class Others:
-    """Two other nodes, one of which answers nonsense."""
+class FakeNodeServices:
+    """Services of a node with three peers: one answers, one sends an invalid answer, one does not answer."""
 
     def __init__(self) -> None:
-        self.keys = UnresolvedOperations()
-        self.routes = peer_routes(self.keys)
-        self.watched: list[bool] = []
+        self.operations = UnresolvedOperations()
+        self.routes = peer_routes(self.operations)
+        self.watch_changes: list[bool] = []  # arguments of `watch_list`
 
     def addresses(self) -> list[str]:
         return ["a", "b", "gone"]
@@ -44,56 +44,58 @@
         return b'{"no": "list"}' if peer == "b" else await self.routes[path](body)
 
     def watch_list(self, enabled: bool) -> None:
-        self.watched.append(enabled)
+        self.watch_changes.append(enabled)
 
 
-def one(key: str) -> UnresolvedOperation:
+def operation(key: str) -> UnresolvedOperation:
     return UnresolvedOperation("topup", "retail", key, 1.0)
 
 
-def test_unresolved_operations_of_all_nodes_are_reconciled_once(tmp_path: Path) -> None:
+def test_unresolved_operations_of_all_nodes_are_reconciled_once_each(tmp_path: Path) -> None:
     async def check() -> None:
-        book, others, here = FencedStore(), Others(), UnresolvedOperations()
-        await book.start()
-        here.add(one("k1"))
-        others.keys.add(one("k2"))
-        others.keys.add(one("k3"))
-        held = ControlledLease()
-        made = ReconcileTask(FencedTarget(book.url, 0.5), 0.01, here, others, LOG)
-        going = asyncio.ensure_future(made.run(held.lease))
-        await soon(lambda: not here.by_id and not others.keys.by_id)
-        held.lease.finishing.set()
-        await going
-        assert sorted(effect.key for effect in book.applied("d")) == [f"topup/retail/k{n}" for n in (1, 2, 3)]
-        assert (here.resolved, others.keys.resolved) == (1, 2)
-        made.close()
-        await book.stop()
+        target, services, local = FencedStore(), FakeNodeServices(), UnresolvedOperations()
+        await target.start()
+        local.add(operation("k1"))
+        services.operations.add(operation("k2"))
+        services.operations.add(operation("k3"))
+        controlled = ControlledLease()
+        task = ReconcileTask(FencedTarget(target.url, 0.5), 0.01, local, services, LOG)
+        running = asyncio.ensure_future(task.run(controlled.lease))
+        await soon(lambda: not local.by_id and not services.operations.by_id)
+        controlled.lease.finishing.set()
+        await running
+        assert sorted(effect.key for effect in target.applied("d")) == [
+            f"topup/retail/k{n}" for n in (1, 2, 3)
+        ]
+        assert (local.resolved, services.operations.resolved) == (1, 2)
+        task.close()
+        await target.stop()
 
     run_bounded(check)
 
 
-def test_unresolved_operations_are_bounded_and_nonsense_is_rejected() -> None:
-    keys = UnresolvedOperations(max_operations=3)
+def test_unresolved_operations_are_bounded_and_invalid_ones_are_rejected() -> None:
+    operations = UnresolvedOperations(max_operations=3)
     for n in range(5):
-        keys.add(one(f"k{n}"))
-    keys.add(one("x" * (TEXT_MAX + 1)))
-    assert [each.key for each in keys.oldest()] == ["k2", "k3", "k4"]
-    assert keys.forgotten == 3
-    assert not keys.resolve("topup/retail/k0")
-    assert from_json_values(to_json_values(keys.oldest())) == keys.oldest()
-    nonsense: list[Any] = [None, {}, [1], [["a", "b", "c"]], [["a", "b", "c", "d"]], [["a", 1, "c", 1.0]]]
-    for raw in (*nonsense, [[]] * 99):
-        with pytest.raises(ValueError, match="no"):
+        operations.add(operation(f"k{n}"))
+    operations.add(operation("x" * (MAX_TEXT_LENGTH + 1)))
+    assert [kept.key for kept in operations.oldest()] == ["k2", "k3", "k4"]
+    assert operations.forgotten == 3
+    assert not operations.resolve("topup/retail/k0")
+    assert from_json_values(to_json_values(operations.oldest())) == operations.oldest()
+    invalid: list[Any] = [None, {}, [1], [["a", "b", "c"]], [["a", "b", "c", "d"]], [["a", 1, "c", 1.0]]]
+    for raw in (*invalid, [[]] * 99):
+        with pytest.raises(ValueError, match="^(not a list of|invalid operation)"):
             from_json_values(raw)
 
 
-def test_a_list_is_watched_while_the_task_is_led() -> None:
+def test_the_list_service_is_watched_while_the_node_leads() -> None:
     async def check() -> None:
-        others, held = Others(), ControlledLease()
-        going = asyncio.ensure_future(WatchListTask(others).run(held.lease))
-        await soon(lambda: others.watched == [True])
-        held.lease.finishing.set()
-        await going
-        assert others.watched == [True, False]
+        services, controlled = FakeNodeServices(), ControlledLease()
+        running = asyncio.ensure_future(WatchListTask(services).run(controlled.lease))
+        await soon(lambda: services.watch_changes == [True])
+        controlled.lease.finishing.set()
+        await running
+        assert services.watch_changes == [True, False]
 
     run_bounded(check)
--- a/tests/election/test_send_task.py
+++ b/tests/election/test_send_task.py
@@ -1,4 +1,4 @@
-"""Sending a file: batches stay the same under their keys, and checkpoints say what may have been sent."""
+"""SendTask: batches keep their contents under their keys, and checkpoints record what may have been sent."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 )
 
 
-class Sending:
-    """A file, a target and the work."""
+class SendScenario:
+    """A file of `count` lines, a target, and settings for tasks that send the file."""
 
-    def __init__(self, folder: Path, lines: int = 2, again: bool = True, count: int = 6) -> None:
-        self.path, self.target, self.lines, self.again = folder / "f", FencedStore(), lines, again
+    def __init__(self, folder: Path, batch_size: int = 2, resend: bool = True, count: int = 6) -> None:
+        self.path, self.target, self.batch_size, self.resend = folder / "f", FencedStore(), batch_size, resend
         self.path.write_text("".join(f"{n}\n" for n in range(count)))
 
-    def work(self) -> SendTask:
-        settings = SendSettings(self.path, 0.01, self.lines, self.again)
+    def make_task(self) -> SendTask:
+        settings = SendSettings(self.path, 0.01, self.batch_size, self.resend)
         return SendTask(settings, FencedTarget(self.target.url, 0.3), LOG)
 
-    def sent(self) -> list[str]:
+    def sent_keys(self) -> list[str]:
         return [effect.key for effect in self.target.applied("d")]
 
 
@@ -43,115 +43,115 @@
         ("7", SendProgress(7)),
         ("7?12", SendProgress(7, 12)),
         ("7?", SendProgress(7)),
-        ("of another work", SendProgress(0)),
-        ("\u00b2", SendProgress(0)),  # a digit to str.isdigit, no number to int
+        ("of another task", SendProgress(0)),
+        ("\u00b2", SendProgress(0)),  # superscript two: str.isdigit() is true, int() fails
         ("7?\u00b2", SendProgress(7)),
     ],
 )
-def test_a_checkpoint_says_what_may_have_been_sent(checkpoint: str, progress: SendProgress) -> None:
+def test_a_checkpoint_records_what_may_have_been_sent(checkpoint: str, progress: SendProgress) -> None:
     assert SendProgress.parse(checkpoint) == progress
     assert SendProgress.parse(progress.checkpoint()) == progress
 
 
-def test_a_file_is_sent_in_batches_and_goes_on_from_the_checkpoint(tmp_path: Path) -> None:
+def test_a_file_is_sent_in_batches_and_continued_from_the_checkpoint(tmp_path: Path) -> None:
     async def check() -> None:
-        sending = Sending(tmp_path)
-        await sending.target.start()
-        held = ControlledLease()
-        going = asyncio.ensure_future(sending.work().run(held.lease))
-        await soon(lambda: held.checkpoints and held.checkpoints[-1] == "6")
-        with sending.path.open("a") as file:
-            file.write("6\n7")  # the last line is not whole yet
-        await soon(lambda: held.checkpoints[-1] == "7")
-        held.lease.finishing.set()
-        await going
-        assert sending.sent() == ["d/0", "d/2", "d/4", "d/6"]
-        later = ControlledLease("4", 4)
-        going = asyncio.ensure_future(sending.work().run(later.lease))
-        await soon(lambda: later.checkpoints and later.checkpoints[-1] == "7")
-        later.lease.finishing.set()
-        await going
-        assert sending.sent()[4:] == ["d/4", "d/6"]
-        assert [effect.repeated for effect in sending.target.applied("d")][4:] == [
+        scenario = SendScenario(tmp_path)
+        await scenario.target.start()
+        first_term = ControlledLease()
+        running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
+        await soon(lambda: first_term.checkpoints and first_term.checkpoints[-1] == "6")
+        with scenario.path.open("a") as file:
+            file.write("6\n7")  # the last line is incomplete
+        await soon(lambda: first_term.checkpoints[-1] == "7")
+        first_term.lease.finishing.set()
+        await running
+        assert scenario.sent_keys() == ["d/0", "d/2", "d/4", "d/6"]
+        second_term = ControlledLease("4", 4)
+        running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
+        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "7")
+        second_term.lease.finishing.set()
+        await running
+        assert scenario.sent_keys()[4:] == ["d/4", "d/6"]
+        assert [effect.repeated for effect in scenario.target.applied("d")][4:] == [
             True,
             True,
-        ], "under the same names"
-        await sending.target.stop()
+        ], "sent again under the same keys"
+        await scenario.target.stop()
 
     run_bounded(check)
 
 
-def test_a_batch_stays_the_same_under_its_key_however_the_file_grows(tmp_path: Path) -> None:
+def test_a_batch_keeps_its_contents_under_its_key_while_the_file_grows(tmp_path: Path) -> None:
     async def check() -> None:
-        sending = Sending(tmp_path, lines=5, count=2)
-        await sending.target.start()
-        sending.target.mode = Mode.LOSE
-        held = ControlledLease()
-        going = asyncio.ensure_future(sending.work().run(held.lease))
-        await soon(lambda: sending.target.requests)
-        with sending.path.open("a") as file:
+        scenario = SendScenario(tmp_path, batch_size=5, count=2)
+        await scenario.target.start()
+        scenario.target.mode = Mode.LOSE
+        first_term = ControlledLease()
+        running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
+        await soon(lambda: scenario.target.requests)
+        with scenario.path.open("a") as file:
             file.write("2\n3\n")
-        await soon(lambda: len(sending.target.requests) > 1)
-        held.lease.revoke()  # another goes on, with pieces of another size
+        await soon(lambda: len(scenario.target.requests) > 1)
+        first_term.lease.revoke()  # another leader continues, with a different batch size
         with pytest.raises(LeaseLostError):
-            await going
-        sending.target.mode, sending.lines = Mode.SERVE, 3
-        later = ControlledLease(held.checkpoints[-1], 4)
-        going = asyncio.ensure_future(sending.work().run(later.lease))
-        await soon(lambda: later.checkpoints and later.checkpoints[-1] == "4")
-        later.lease.finishing.set()
-        await going
-        done = {effect.key: effect.body for effect in sending.target.requests}
-        assert done == {"d/0": b"0\n1\n", "d/2": b"2\n3\n"}
-        assert not any(effect.body_changed for effect in sending.target.requests)
-        await sending.target.stop()
+            await running
+        scenario.target.mode, scenario.batch_size = Mode.SERVE, 3
+        second_term = ControlledLease(first_term.checkpoints[-1], 4)
+        running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
+        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "4")
+        second_term.lease.finishing.set()
+        await running
+        bodies = {effect.key: effect.body for effect in scenario.target.requests}
+        assert bodies == {"d/0": b"0\n1\n", "d/2": b"2\n3\n"}
+        assert not any(effect.body_changed for effect in scenario.target.requests)
+        await scenario.target.stop()
 
     run_bounded(check)
 
 
-def test_a_batch_that_may_not_be_resent_is_skipped_and_logged(
+def test_a_batch_that_must_not_be_resent_is_skipped_and_logged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def check() -> None:
-        told: list[dict[str, Any]] = []
-        monkeypatch.setattr(LOG, "event", lambda event, **fields: told.append({"event": event, **fields}))
-        sending = Sending(tmp_path, again=False)
-        await sending.target.start()
-        sending.target.mode = Mode.LOSE
-        held = ControlledLease()
-        going = asyncio.ensure_future(sending.work().run(held.lease))
-        await soon(lambda: len(sending.target.requests) == 1)
-        assert held.checkpoints == ["0?2"], "said before it was sent"
-        sending.target.mode = Mode.SERVE
-        await soon(lambda: held.checkpoints[-1] == "6")
-        held.lease.finishing.set()
-        await going
-        assert sending.sent() == ["d/0", "d/2", "d/4"]
-        assert [line["piece"] for line in told if line["event"] == "duty_unclear"] == [0]
-        later = ControlledLease("2?4", 4)
-        going = asyncio.ensure_future(sending.work().run(later.lease))
-        await soon(lambda: later.checkpoints and later.checkpoints[-1] == "6")
-        later.lease.finishing.set()
-        await going
-        assert sending.sent()[3:] == ["d/4"], "what its sender was in the middle of is left out"
-        assert [line["piece"] for line in told if line["event"] == "duty_unclear"] == [0, 2]
-        await sending.target.stop()
+        logged: list[dict[str, Any]] = []
+        monkeypatch.setattr(LOG, "event", lambda event, **fields: logged.append({"event": event, **fields}))
+        scenario = SendScenario(tmp_path, resend=False)
+        await scenario.target.start()
+        scenario.target.mode = Mode.LOSE
+        first_term = ControlledLease()
+        running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
+        await soon(lambda: len(scenario.target.requests) == 1)
+        assert first_term.checkpoints == ["0?2"], "the checkpoint is saved before the batch is sent"
+        scenario.target.mode = Mode.SERVE
+        await soon(lambda: first_term.checkpoints[-1] == "6")
+        first_term.lease.finishing.set()
+        await running
+        assert scenario.sent_keys() == ["d/0", "d/2", "d/4"]
+        assert [line["piece"] for line in logged if line["event"] == "duty_unclear"] == [0]
+        second_term = ControlledLease("2?4", 4)
+        running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
+        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "6")
+        second_term.lease.finishing.set()
+        await running
+        assert scenario.sent_keys()[3:] == ["d/4"], "a batch that may have been sent is skipped"
+        assert [line["piece"] for line in logged if line["event"] == "duty_unclear"] == [0, 2]
+        await scenario.target.stop()
 
     run_bounded(check)
 
 
-def test_work_that_fails_in_a_row_is_given_up_by_the_node(tmp_path: Path) -> None:
+def test_the_task_fails_after_repeated_errors_and_without_its_file(tmp_path: Path) -> None:
     async def check() -> None:
-        sending = Sending(tmp_path)
-        await sending.target.start()
-        sending.target.mode = Mode.FAIL
+        scenario = SendScenario(tmp_path)
+        await scenario.target.start()
+        scenario.target.mode = Mode.FAIL
         with pytest.raises(TaskFailedError):
-            await sending.work().run(ControlledLease().lease)
-        missing = SendTask(
-            SendSettings(tmp_path / "none", 0.01, 1, True), FencedTarget(sending.target.url, 0.3), LOG
+            await scenario.make_task().run(ControlledLease().lease)
+        without_file = SendTask(
+            SendSettings(tmp_path / "none", 0.01, 1, True), FencedTarget(scenario.target.url, 0.3), LOG
         )
         with pytest.raises(TaskFailedError):
-            await missing.run(ControlledLease().lease)
-        await sending.target.stop()
+            await without_file.run(ControlledLease().lease)
+        await scenario.target.stop()
 
     run_bounded(check)
