--- a/shelfhaven/election/messages.py
+++ b/shelfhaven/election/messages.py
@@ -1,8 +1,8 @@
-"""What goes into an elector and what comes out: inputs it is told, effects its owner carries out.
+"""Inputs and effects of the elector: an owner passes inputs to it and carries out the effects it returns.
 
-Owns the types alone. `log_name` is the name under which the node's log counts an input; operators read these
-names, so they stay as they are whatever a type is called. A `retry_after` of None means that the store asked
-for no delay.
+`log_name` is the name under which the node's log counts an input. Operators read these names, so they do not
+change when a type is renamed. `retry_after` is the delay in seconds that the store asked for, None if it
+asked for none.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidatesRanked:
-    """The candidates of every task in the file, and how many nodes there are."""
+    """The candidates of each task in the operator configuration, and the number of nodes."""
 
     log_name: ClassVar[str] = "Placed"
     rankings: Mapping[str, CandidateRanking]
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """The answer to `RequestLease`."""
+    """Answers `RequestLease`; `ttl` counts from when the request was sent."""
 
     log_name: ClassVar[str] = "LeaseGot"
     lease_id: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequestFailed:
-    """The lease was not granted, as far as is known."""
+    """`RequestLease` failed; the store may have granted a lease nevertheless."""
 
     log_name: ClassVar[str] = "LeaseFailed"
     retry_after: float | None = None
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """The answer to `RenewLease`; `ttl` counts from when the renewal was sent."""
+    """Answers `RenewLease`; `ttl` counts from when the renewal was sent."""
 
     log_name: ClassVar[str] = "Beaten"
     lease_id: int
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseExpired:
-    """The answer to `RenewLease` if the store does not know the lease."""
+    """Answers `RenewLease` if the store does not have the lease any more."""
 
     log_name: ClassVar[str] = "Beaten"
     lease_id: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewalFailed:
-    """`RenewLease` got no answer."""
+    """`RenewLease` failed; the lease may have been renewed nevertheless."""
 
     log_name: ClassVar[str] = "BeatFailed"
     lease_id: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsRead:
-    """The answer to `ReadRecords`: records as they are."""
+    """Answers `ReadRecords` with the current records."""
 
     log_name: ClassVar[str] = "Seen"
     snapshot: Snapshot
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsChanged:
-    """A watch event: it may be late, and says nothing of records that it does not name."""
+    """A watch event. It may be delayed, and contains only the records that have changed."""
 
     log_name: ClassVar[str] = "Seen"
     snapshot: Snapshot
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadFailed:
-    """`ReadRecords` got no answer."""
+    """`ReadRecords` failed."""
 
     log_name: ClassVar[str] = "ReadFailed"
     retry_after: float | None = None
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEnded:
-    """The watch is over."""
+    """The watch has ended."""
 
     log_name: ClassVar[str] = "WatchEnded"
     retry_after: float | None = None
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteAnswered:
-    """The answer to the `WriteRecord` of this id."""
+    """Answers the `WriteRecord` with this id."""
 
     log_name: ClassVar[str] = "Changed"
     task: str
@@ -114,7 +114,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteFailed:
-    """The `WriteRecord` of this id got no answer; its outcome is unknown unless it was surely not applied."""
+    """The `WriteRecord` with this id failed.
+
+    The write may have been applied, unless `not_applied` is set.
+    """
 
     log_name: ClassVar[str] = "Changed"
     task: str
@@ -125,7 +128,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldersListed:
-    """The answer to `ListHolders`: the leaders of all tasks, as the store has them."""
+    """Answers `ListHolders` with the holder records of all tasks that have a leader."""
 
     log_name: ClassVar[str] = "Swept"
     snapshot: Snapshot
@@ -133,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingFailed:
-    """`ListHolders` got no answer."""
+    """`ListHolders` failed."""
 
     log_name: ClassVar[str] = "SweepFailed"
     retry_after: float | None = None
@@ -141,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckpointReached:
-    """The work reports how far it is."""
+    """The work reports a checkpoint to save."""
 
     log_name: ClassVar[str] = "Noted"
     task: str
@@ -151,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FencingTokenRejected:
-    """The target of the work has seen a higher fencing token."""
+    """The target has rejected the fencing token because it has seen a higher one (0 if it named none)."""
 
     log_name: ClassVar[str] = "Fenced"
     task: str
@@ -161,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskEnded:
-    """The work has finished, or it failed."""
+    """The work has ended, successfully or not."""
 
     log_name: ClassVar[str] = "Ended"
     task: str
@@ -171,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthChanged:
-    """Whether the node is healthy enough to lead."""
+    """The node has become healthy enough to lead, or has ceased to be."""
 
     log_name: ClassVar[str] = "Well"
     healthy: bool
@@ -179,14 +182,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainStarted:
-    """The node shuts down gracefully: all its tasks are handed over."""
+    """The node shuts down gracefully and has to hand over all its tasks."""
 
     log_name: ClassVar[str] = "Leave"
 
 
 @dataclass(frozen=True, slots=True)
 class StoreReplaced:
-    """The store is another from now on."""
+    """The node uses a different store from now on."""
 
     log_name: ClassVar[str] = "Moved"
 
@@ -216,7 +219,7 @@
 
 
 def renewal_answer(lease_id: int, ttl: float | None) -> LeaseRenewed | LeaseExpired:
-    """Return the input for a store's answer to a renewal; without a time to live the lease is unknown."""
+    """Return the input for the result of a renewal; a TTL of None means that the lease has expired."""
     return LeaseExpired(lease_id) if ttl is None else LeaseRenewed(lease_id, ttl)
 
 
@@ -225,35 +228,38 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLease:
-    """Ask for a lease; answered by `LeaseGranted` or `LeaseRequestFailed`."""
+    """Request a lease; answered by `LeaseGranted` or `LeaseRequestFailed`."""
 
     ttl: float
 
 
 @dataclass(frozen=True, slots=True)
 class RenewLease:
-    """Keep a lease alive; answered by `LeaseRenewed`, `LeaseExpired` or `LeaseRenewalFailed`."""
+    """Renew a lease; answered by `LeaseRenewed`, `LeaseExpired` or `LeaseRenewalFailed`."""
 
     lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """End a lease; needs no answer."""
+    """Revoke a lease; not answered."""
 
     lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReadRecords:
-    """Read these records anew; answered by `RecordsRead` or `ReadFailed`."""
+    """Read the records with these keys; answered by `RecordsRead` or `ReadFailed`."""
 
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRecords:
-    """Watch these records after a revision, in place of any watch there is."""
+    """Watch the records with these keys for changes after a revision; replaces any current watch.
+
+    `RecordsChanged` reports each change, and `WatchEnded` the end of the watch.
+    """
 
     keys: tuple[str, ...]
     after: int
@@ -261,17 +267,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelWatch:
-    """End the watch."""
+    """Cancel the current watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListHolders:
-    """List the leaders of all tasks; answered by `HoldersListed` or `ListingFailed`."""
+    """List the holder records of all tasks; answered by `HoldersListed` or `ListingFailed`."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Write a task's records; answered by `WriteAnswered` or `WriteFailed` with the same id."""
+    """Write the records of a task; answered by `WriteAnswered` or `WriteFailed` with the same id."""
 
     task: str
     change: CompareAndSet
@@ -280,7 +286,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartTask:
-    """Begin the work under this fencing token, from this checkpoint on."""
+    """Start the work with this fencing token, from this checkpoint."""
 
     task: str
     fencing_token: int
@@ -289,7 +295,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspendTask:
-    """Start no action until resumed; those on their way out are cancelled."""
+    """Suspend the work: cancel its actions in progress, and start none until it is resumed."""
 
     task: str
     fencing_token: int
@@ -297,7 +303,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResumeTask:
-    """Continue suspended work."""
+    """Resume suspended work."""
 
     task: str
     fencing_token: int
@@ -305,7 +311,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishTask:
-    """Complete the piece in hand within the timeout and stop; answered by `TaskEnded`."""
+    """End the work after its current step, within the timeout; answered by `TaskEnded`."""
 
     task: str
     fencing_token: int
@@ -314,7 +320,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop the work at once: the task is lost."""
+    """Stop the work immediately: the node must not act on the task's target any more."""
 
     task: str
     fencing_token: int
@@ -322,7 +328,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckpointSaved:
-    """A checkpoint is in the store."""
+    """A checkpoint has been written to the store."""
 
     task: str
     checkpoint: str
@@ -330,7 +336,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChanged:
-    """A task's ownership state is another, for the log."""
+    """The ownership state of a task has changed; the change is logged."""
 
     task: str
     state: OwnershipState
--- a/shelfhaven/election/records.py
+++ b/shelfhaven/election/records.py
@@ -1,10 +1,12 @@
-"""What the consensus store holds of a singleton task: its leader, and what outlives leaders.
+"""Records of singleton tasks in the consensus store: their keys and their encoding.
 
-Owns the keys and the stored form of both values. It must never decide who may write them.
+Each task has two records:
 
-There are two records a task. `hold/NAME` names the leader and is bound to the leader's lease: it disappears
-when the lease ends. `duty/NAME` stays: the highest fencing token ever given, the checkpoint of the work, and
-what operators ordered.
+- `hold/NAME`, the holder record, names the leader. It is bound to the leader's lease and is deleted with it.
+- `duty/NAME`, the task record, persists across leaders. It contains the highest fencing token issued so far,
+  the checkpoint of the work, and what operators have ordered.
+
+When a node may write these records is decided elsewhere (`candidacy.py`, `hand_over.py`).
 """
 
 from __future__ import annotations
@@ -16,16 +18,16 @@
 import orjson
 
 HOLDER_PREFIX, TASK_PREFIX = "hold/", "duty/"
-CHECKPOINT_MAX = 4096  # characters
+MAX_CHECKPOINT_LENGTH = 4096  # characters
 
 
 def holder_key(name: str) -> str:
-    """Return the key of the record that names a task's leader."""
+    """Return the key of a task's holder record."""
     return HOLDER_PREFIX + name
 
 
 def task_key(name: str) -> str:
-    """Return the key of the record that outlives a task's leaders."""
+    """Return the key of a task's persistent record."""
     return TASK_PREFIX + name
 
 
@@ -37,45 +39,45 @@
 
 
 def record_keys(name: str) -> RecordKeys:
-    """Return the keys of a task's records."""
+    """Return the keys of a task's two records."""
     return RecordKeys(holder_key(name), task_key(name))
 
 
 def task_name(key: str) -> str:
-    """Return the task that a key of either kind belongs to."""
+    """Return the name of the task that a key of either record belongs to."""
     return key.partition("/")[2]
 
 
 def keys_of(names: Iterable[str]) -> tuple[str, ...]:
-    """Return both keys of each task."""
+    """Return the keys of the records of several tasks, two for each task."""
     return tuple(key for name in names for key in record_keys(name))
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """A leader: its node, its fencing token, and the address at which peers reach it."""
+    """The leader of a task: its node, its fencing token, and the address at which peers reach it."""
 
     node: str
     fencing_token: int
     address: str = ""
 
     def encode(self) -> bytes:
-        """Return the stored form."""
+        """Return the JSON encoding that is stored."""
         return orjson.dumps([self.node, self.fencing_token, self.address])
 
 
 @dataclass(frozen=True, slots=True)
 class TaskRecord:
-    """What outlives leaders; `successor` is the node that operators or the last leader named."""
+    """The record of a task that persists across leaders."""
 
-    fencing_token: int = 0
+    fencing_token: int = 0  # the highest issued so far
     checkpoint: str = ""
     last_holder: str = ""
-    successor: str = ""
-    disabled: bool = False  # operators took the task from everybody
+    successor: str = ""  # the next leader, chosen by an operator or by the previous leader
+    disabled: bool = False  # by an operator: no node may lead the task
 
     def encode(self) -> bytes:
-        """Return the stored form."""
+        """Return the JSON encoding that is stored."""
         raw = {
             "fence": self.fencing_token,
             "note": self.checkpoint,
@@ -87,35 +89,35 @@
 
 
 def decode_holder(value: bytes) -> Holder:
-    """Decode a leader. Raises ValueError."""
-    raw = _json(value)
+    """Decode a holder record. Raises ValueError."""
+    raw = _parse_json(value)
     if isinstance(raw, list) and len(raw) == 3:
         node, token, address = raw
-        texts = isinstance(node, str) and isinstance(address, str)
-        if texts and isinstance(token, int) and token > 0:
+        valid_strings = isinstance(node, str) and isinstance(address, str)
+        if valid_strings and isinstance(token, int) and token > 0:
             return Holder(node, token, address)
-    raise ValueError("no holder")
+    raise ValueError("invalid holder record")
 
 
 def decode_task_record(value: bytes) -> TaskRecord:
-    """Decode what outlives leaders; an absent field has its default. Raises ValueError."""
-    raw = _json(value)
+    """Decode a task record; missing fields get their defaults. Raises ValueError."""
+    raw = _parse_json(value)
     if isinstance(raw, dict):
-        texts = [raw.get(name, "") for name in ("note", "by", "to")]
+        strings = [raw.get(name, "") for name in ("note", "by", "to")]
         token, disabled = raw.get("fence", 0), raw.get("off", False)
         if (
-            all(isinstance(one, str) for one in texts)
+            all(isinstance(string, str) for string in strings)
             and isinstance(token, int)
             and isinstance(disabled, bool)
         ):
-            checkpoint, last_holder, successor = texts
-            return TaskRecord(token, checkpoint[:CHECKPOINT_MAX], last_holder, successor, disabled)
-    raise ValueError("no record")
+            checkpoint, last_holder, successor = strings
+            return TaskRecord(token, checkpoint[:MAX_CHECKPOINT_LENGTH], last_holder, successor, disabled)
+    raise ValueError("invalid task record")
 
 
-def _json(value: bytes) -> object:
+def _parse_json(value: bytes) -> object:
     try:
-        decoded: object = orjson.loads(value)
+        parsed: object = orjson.loads(value)
     except orjson.JSONDecodeError as error:
-        raise ValueError(f"no JSON: {error}") from None
-    return decoded
+        raise ValueError(f"invalid JSON: {error}") from None
+    return parsed
--- a/shelfhaven/election/task_ownership.py
+++ b/shelfhaven/election/task_ownership.py
@@ -1,6 +1,6 @@
-"""One node's view of one singleton task: what it knows of the stored records, and whether it is the leader.
+"""A node's view of a singleton task: the records as the node knows them, and its own ownership state.
 
-Owns the ownership states, the transitions between them, and the bookkeeping of a task's two records.
+Defines the ownership states and the transitions allowed between them.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
     record_keys,
 )
 
-# Stands for a holder record that cannot be decoded: some node leads, and is not replaced before it is gone.
+# Replaces a holder record that cannot be decoded. The task counts as led by another node until the record is
+# deleted.
 UNREADABLE_HOLDER = Holder("?", 1)
 
 
 class OwnershipState(Enum):
-    """What a task is to this node; the values appear in the log."""
+    """The state of a task at this node. The values appear in the log."""
 
     NOT_LEADING = "without"
-    ACQUIRING = "asking"  # a write is on its way, or its outcome is unknown
+    ACQUIRING = "asking"  # a write is in flight, or its outcome is unknown
     LEADING = "holding"
-    UNCERTAIN = "doubtful"  # leading as far as is known, but the lease may be over: nothing is done
+    UNCERTAIN = "doubtful"  # the node may have lost leadership, so that it must not act
     HANDING_OVER = "handing on"
-    RELINQUISHED = "given up"  # the node drains, or operators disabled the task
+    RELINQUISHED = "given up"  # the node is draining, or an operator has disabled the task
 
 
 ALLOWED_TRANSITIONS = {
@@ -68,7 +69,7 @@
 
 
 class WritePurpose(Enum):
-    """What a write of a task's records is for."""
+    """The purpose of a write to a task's records."""
 
     ACQUIRE = "acquire"
     RELEASE = "release"
@@ -78,49 +79,49 @@
 
 @dataclass(slots=True)
 class TaskOwnership:
-    """One task."""
+    """The state of one task at this node."""
 
     name: str
     state: OwnershipState = OwnershipState.NOT_LEADING
     ranking: CandidateRanking = field(default=NO_CANDIDATES)
 
-    # the records, as far as this node knows them
-    known: bool = False  # they have been read
-    revision: int = 0  # of the store, up to which they are known
-    revision_when_read: int = 0  # that revision when the read that is on its way was sent
+    # The records as this node knows them
+    known: bool = False  # whether they have been read
+    revision: int = 0  # of the store, at which they were current
+    revision_when_read: int = 0  # value of `revision` when the read in flight was sent
     holder: Holder | None = None
     holder_revision: int = 0
-    holder_lease: int | None = None  # that the holder's record is bound to
+    holder_lease_id: int | None = None  # lease that the holder record is bound to
     record: TaskRecord = field(default_factory=TaskRecord)
     record_revision: int = 0
-    highest_token: int = 0  # ever seen here, whatever the store says
+    highest_token: int = 0  # that this node has ever seen; outlives a store that loses its records
 
-    # writes
-    pending_write: WritePurpose | None = None  # on its way
-    write_id: int = 0  # of that write: an answer to another one says nothing
-    unresolved_write: WritePurpose | None = None  # its outcome is unknown until the records are read
-    requested_token: int = 0  # that the pending write asks for
-    checkpoint_in_flight: str = ""  # that the pending write saves
+    # Writes
+    pending_write: WritePurpose | None = None  # in flight
+    write_id: int = 0  # of the last write; answers to other writes are ignored
+    unresolved_write: WritePurpose | None = None  # outcome unknown until the records are read
+    requested_token: int = 0  # fencing token in the pending write
+    checkpoint_in_flight: str = ""  # checkpoint in the pending write
 
-    # candidacy
-    acquire_at: float = math.inf
-    unfit_until: float = 0.0  # the work failed here
-    unclaimed: bool = False  # none of its candidates acquired it: any node may
+    # Candidacy
+    acquire_at: float = math.inf  # when the node tries to acquire the task
+    unfit_until: float = 0.0  # no attempt to acquire before this time, as the work failed here
+    unclaimed: bool = False  # no candidate has acquired the task, so any node may
 
-    # leadership
+    # Leadership
     fencing_token: int = 0
     leader_since: float = 0.0
-    running: bool = False  # the work was started and has not ended
+    running: bool = False  # the work has been started and has not ended
     unsaved_checkpoint: str | None = None
     next_checkpoint_at: float = 0.0
-    token_to_exceed: int = 0  # that the target of the work has seen
+    token_to_exceed: int = 0  # highest token that the target reported when it rejected this node's token
     better_candidate_since: float = math.inf
-    stop_deadline: float = math.inf  # handing over: when the work is stopped
-    successor: str = ""  # handing over: who is to lead next
+    stop_deadline: float = math.inf  # while handing over: when the work is stopped if it has not ended
+    successor: str = ""  # while handing over: the node to lead next
 
     @property
     def keys(self) -> RecordKeys:
-        """The keys of the task's records."""
+        """The keys of the task's two records."""
         return record_keys(self.name)
 
     @property
@@ -130,57 +131,60 @@
 
     @property
     def is_owned_or_acquiring(self) -> bool:
-        """Whether this node is the leader or may become it by a write on its way."""
+        """Whether this node is the leader, as far as it knows, or is trying to become it."""
         return self.is_owned or self.state is OwnershipState.ACQUIRING
 
     @property
     def has_open_write(self) -> bool:
-        """Whether a write is on its way, or its outcome is unknown."""
+        """Whether a write is in flight, or its outcome is unknown."""
         return self.pending_write is not None or self.unresolved_write is not None
 
     @property
     def wants_checkpoint_saved(self) -> bool:
-        """Whether a checkpoint is to be written: that of the last piece of work as any other."""
-        works = self.state is OwnershipState.LEADING or (
+        """Whether there is a checkpoint to write; the last ones are written while the task is handed over."""
+        may_save = self.state is OwnershipState.LEADING or (
             self.state is OwnershipState.HANDING_OVER and self.running
         )
-        return works and self.unsaved_checkpoint is not None and not self.has_open_write
+        return may_save and self.unsaved_checkpoint is not None and not self.has_open_write
 
     def is_candidate(self, node: str) -> bool:
-        """Whether a node has anything to do with the task."""
+        """Whether a node leads the task, or may acquire it."""
         eligible = self.ranking.rank(node) is not None or self.record.successor == node or self.unclaimed
         return eligible or self.is_owned_or_acquiring
 
     def is_led_under(self, node: str, lease_id: int | None) -> bool:
-        """Whether the store names the node as leader on this lease: by its last write, or by one that came
-        through after it was given up.
+        """Whether the holder record names the node and is bound to this lease.
+
+        The record may come from a write whose outcome the node did not learn in time.
         """
-        named = self.holder is not None and self.holder.node == node
-        return named and lease_id is not None and self.holder_lease == lease_id
+        is_named = self.holder is not None and self.holder.node == node
+        return is_named and lease_id is not None and self.holder_lease_id == lease_id
 
     def next_candidate(self, node: str) -> str:
-        """Return who is to lead after a node, "" if there is nobody."""
+        """Return the first candidate other than a node, "" if there is none."""
         return next((other for other in self.ranking.order if other != node), "")
 
     def update(self, items: Mapping[str, Entry | None], revision: int) -> None:
-        """Take over records, as many as the store named."""
+        """Store the records that the items contain; others keep their values."""
         keys = self.keys
         if keys.holder in items:
             entry = items[keys.holder]
-            self.holder = _holder(entry)
+            self.holder = _decode_holder_entry(entry)
             self.holder_revision = entry.revision if entry else 0
-            self.holder_lease = entry.lease if entry else None
+            self.holder_lease_id = entry.lease if entry else None
         if keys.record in items:
             entry = items[keys.record]
-            self.record = _task_record(entry)
+            self.record = _decode_record_entry(entry)
             self.record_revision = entry.revision if entry else 0
         self.revision = revision
         holder_token = self.holder.fencing_token if self.holder else 0
         self.highest_token = max(self.highest_token, self.record.fencing_token, holder_token)
 
     def forget_records(self) -> None:
-        """Forget what the store said: another store knows neither leaders nor revisions, and this node still
-        knows the checkpoint and the highest token.
+        """Forget the records, because the store was replaced.
+
+        The new store has neither the leaders nor the revisions of the old one. The checkpoint and the highest
+        token are kept.
         """
         self.pending_write = self.unresolved_write = None
         self.known = False
@@ -192,7 +196,7 @@
         self.acquire_at = math.inf
 
 
-def _holder(entry: Entry | None) -> Holder | None:
+def _decode_holder_entry(entry: Entry | None) -> Holder | None:
     if entry is None:
         return None
     try:
@@ -201,7 +205,7 @@
         return UNREADABLE_HOLDER
 
 
-def _task_record(entry: Entry | None) -> TaskRecord:
+def _decode_record_entry(entry: Entry | None) -> TaskRecord:
     if entry is None:
         return TaskRecord()
     try:
--- a/shelfhaven/election/task_runner.py
+++ b/shelfhaven/election/task_runner.py
@@ -1,7 +1,7 @@
-"""Runs the work of the tasks that this node leads, each under a lease of its own.
+"""Runs the work of the tasks that this node leads, each under its own `LeaderLease`.
 
-Owns the asyncio tasks of the work: it starts and cancels them, and awaits them at the end. It must never
-decide who leads.
+`TaskRunner` starts and cancels the asyncio tasks that do the work. Which tasks this node leads is decided by
+the elector.
 """
 
 from __future__ import annotations
@@ -16,38 +16,39 @@
 
 
 class TaskRunner:
-    """Carries out the effects that concern work.
+    """Carries out the elector's effects on the work of tasks.
 
-    `make_task` makes the work of a task anew for each term of leadership; `time_to_act` returns the seconds
-    for which the node surely leads a task under a fencing token; `tell` takes what the elector is to be told.
+    `make_task` creates the work of a task for one term of leadership. `time_to_act` returns the seconds for
+    which the node is certain to lead a task under a fencing token. `notify_elector` passes an input to the
+    elector.
     """
 
     def __init__(
         self,
         make_task: Callable[[str], LeaderTask],
         time_to_act: Callable[[str, int], float],
-        tell: Callable[[messages.Input], None],
+        notify_elector: Callable[[messages.Input], None],
         log: Log,
     ) -> None:
         self.make_task = make_task
         self.time_to_act = time_to_act
-        self.tell = tell
+        self.notify_elector = notify_elector
         self.log = log
-        self.leases: dict[str, LeaderLease] = {}
-        self.running: dict[str, asyncio.Task[None]] = {}
+        self.leases: dict[str, LeaderLease] = {}  # by task
+        self.running: dict[str, asyncio.Task[None]] = {}  # by task
 
     def carry_out(self, effect: messages.Effect) -> None:
-        """Start, suspend, resume, finish or stop work; nothing happens if that work is over."""
+        """Carry out an effect on the work of a task; effects on work that has ended are ignored."""
         match effect:
             case messages.StartTask():
                 self._start(effect)
-            case messages.SuspendTask() if lease := self._lease(effect.task, effect.fencing_token):
+            case messages.SuspendTask() if lease := self._find_lease(effect.task, effect.fencing_token):
                 lease.suspend()
-            case messages.ResumeTask() if lease := self._lease(effect.task, effect.fencing_token):
+            case messages.ResumeTask() if lease := self._find_lease(effect.task, effect.fencing_token):
                 lease.resume()
-            case messages.FinishTask() if lease := self._lease(effect.task, effect.fencing_token):
+            case messages.FinishTask() if lease := self._find_lease(effect.task, effect.fencing_token):
                 lease.finishing.set()
-            case messages.StopTask() if lease := self._lease(effect.task, effect.fencing_token):
+            case messages.StopTask() if lease := self._find_lease(effect.task, effect.fencing_token):
                 lease.revoke()
                 if work := self.running.get(effect.task):
                     work.cancel()
@@ -55,15 +56,15 @@
                 lease.checkpoint_saved(effect.checkpoint)
 
     def revoke_all(self) -> None:
-        """Have no work act any more."""
+        """Revoke the leases of all work, so that none of it can act any more."""
         for lease in self.leases.values():
             lease.revoke()
 
     def asyncio_tasks(self) -> Iterable[asyncio.Task[None]]:
-        """Return what runs."""
+        """Return the asyncio tasks of the running work."""
         return self.running.values()
 
-    def _lease(self, name: str, fencing_token: int) -> LeaderLease | None:
+    def _find_lease(self, name: str, fencing_token: int) -> LeaderLease | None:
         lease = self.leases.get(name)
         return lease if lease and lease.fencing_token == fencing_token else None
 
@@ -74,15 +75,15 @@
             token,
             effect.checkpoint,
             lambda: self.time_to_act(name, token),
-            lambda checkpoint: self.tell(messages.CheckpointReached(name, token, checkpoint)),
-            lambda highest: self.tell(messages.FencingTokenRejected(name, token, highest)),
+            lambda checkpoint: self.notify_elector(messages.CheckpointReached(name, token, checkpoint)),
+            lambda highest: self.notify_elector(messages.FencingTokenRejected(name, token, highest)),
         )
         previous = self.running.get(name)
         self.leases[name] = lease
         self.running[name] = asyncio.ensure_future(self._run(lease, previous))
 
     async def _run(self, lease: LeaderLease, previous: asyncio.Task[None] | None) -> None:
-        """Do the work of one term of leadership, after that of the term before is over."""
+        """Do the work of one term of leadership, after the work of the previous term has ended."""
         work: LeaderTask | None = None
         failed = False
         try:
@@ -91,11 +92,11 @@
             work = self.make_task(lease.task)
             await work.run(lease)
         except LeaseLostError:
-            pass  # the elector knows; the work did not fail
-        except Exception as error:  # noqa: BLE001 - operators choose the work: anything may come from it
+            pass  # the elector has ended the term; the work has not failed
+        except Exception as error:  # noqa: BLE001 - operators configure the work, so it may raise anything
             failed = True
-            text = str(error) if isinstance(error, TaskFailedError) else repr(error)
-            self.log.event("duty_work", duty=lease.task, fence=lease.fencing_token, error=text)
+            message = str(error) if isinstance(error, TaskFailedError) else repr(error)
+            self.log.event("duty_work", duty=lease.task, fence=lease.fencing_token, error=message)
         finally:
             if work:
                 work.close()
@@ -104,5 +105,6 @@
             )
             if self.running.get(lease.task) is asyncio.current_task():
                 del self.running[lease.task], self.leases[lease.task]
-        if not lease.revoked:  # else the elector ended it, and may have begun another under the same token
-            self.tell(messages.TaskEnded(lease.task, lease.fencing_token, failed))
+        # If the elector has revoked the lease, it may have restarted the work under the same token already.
+        if not lease.revoked:
+            self.notify_elector(messages.TaskEnded(lease.task, lease.fencing_token, failed))
--- a/tests/election/helpers.py
+++ b/tests/election/helpers.py
@@ -1,4 +1,4 @@
-"""What tests of elections share: an elector with one task, a lease that the test controls, a time limit."""
+"""Test helpers: an elector with one task, a leader lease that the test controls, and time limits."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
     hand_over_cooldown=10.0,
 )
 
-SAFE_SECONDS = 10.0 * 0.95 - 0.5  # seconds from the lease's request
+SAFE_SECONDS = 10.0 * 0.95 - 0.5  # after the request for a lease, during which the node may act on it
 
 HOLDER_KEY = "hold/d"
 TASK_KEY = "duty/d"
 
 
 class SingleTaskElector:
-    """An elector with one task, and the effects that it returned."""
+    """An elector with one task `d`, and the effects that it has returned."""
 
     def __init__(self, order: tuple[str, ...] = ("me", "other")) -> None:
         self.elector = elector.Elector(SETTINGS, "me", 0.0, Random(1))
-        self.elector.state.token_range = 1  # tokens that can be told beforehand
+        self.elector.state.token_range = 1  # makes tokens predictable
         self.effects: list[messages.Effect] = []
         self.tell(0.0, messages.CandidatesRanked({"d": CandidateRanking(order)}, 3))
 
@@ -56,7 +56,7 @@
         self.tell(now, messages.RecordsRead(Snapshot(revision, {HOLDER_KEY: holder, TASK_KEY: record})))
 
     def until(self, now: float, kind: type[EffectT]) -> EffectT:
-        """Wake it when it is due until it returns an effect of a kind."""
+        """Wake the elector whenever it is due, until it returns an effect of this kind; return the effect."""
         for _ in range(100):
             found = [effect for effect in self.effects if isinstance(effect, kind)]
             if found:
@@ -66,10 +66,10 @@
             assert now < math.inf
             self.now = now
             self.tell(now)
-        raise AssertionError(f"no {kind.__name__}")
+        raise AssertionError(f"no effect of type {kind.__name__} after 100 wake-ups")
 
     def acquire(self) -> CompareAndSet:
-        """Acquire the task, with a lease that is granted 0.4 s after its request; return the write."""
+        """Acquire the task with a lease that is granted 0.4 s after its request; return the write."""
         self.read(0.0)
         self.until(1.0, messages.RequestLease)
         requested_at = self.now
@@ -92,17 +92,18 @@
         return self.task.state
 
     def entries(self, lease: int = 7) -> tuple[Entry, Entry]:
+        """Return the holder entry and the task entry as they are after `acquire`."""
         token = self.task.fencing_token or 1
         return Entry(Holder("me", token).encode(), 6, lease), Entry(TaskRecord(token).encode(), 6)
 
 
 class ControlledLease:
-    """A leader lease whose time to act the test sets."""
+    """A leader lease whose time to act is set by the test; checkpoints are saved at once."""
 
     def __init__(self, checkpoint: str = "", fencing_token: int = 3) -> None:
         self.time_to_act = 10.0
         self.checkpoints: list[str] = []
-        self.rejected_by: list[int] = []  # higher tokens
+        self.rejected_by: list[int] = []  # higher tokens, reported with rejections
         self.lease = LeaderLease(
             "d",
             fencing_token,
@@ -118,14 +119,17 @@
 
 
 def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
-    async def bounded() -> None:
+    """Run a test in an event loop, with a time limit."""
+
+    async def with_timeout() -> None:
         async with asyncio.timeout(15):
             await test()
 
-    asyncio.run(bounded())
+    asyncio.run(with_timeout())
 
 
-async def soon(true: Callable[[], Any]) -> None:
+async def soon(condition: Callable[[], Any]) -> None:
+    """Wait until a condition is true. Raises TimeoutError."""
     async with asyncio.timeout(10):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.01)
--- a/tests/election/test_components.py
+++ b/tests/election/test_components.py
@@ -1,4 +1,4 @@
-"""The elector's components, each alone: the lease, the ranks of candidates, and what is read of the store."""
+"""Components of the elector in isolation: lease upkeep, candidate ranks, listings and record decoding."""
 
 from __future__ import annotations
 
@@ -37,30 +37,30 @@
 SETTINGS = ElectorSettings(lease_duration=10.0, safety_margin=0.5, clock_drift=0.05)
 
 
-def state_of(*tasks: TaskOwnership) -> ElectorState:
+def elector_state(*tasks: TaskOwnership) -> ElectorState:
     state = ElectorState(SETTINGS, "me", "", Random(1), store_paused_until=0.0)
     state.tasks.update({task.name: task for task in tasks})
     return state
 
 
-def test_a_lease_counts_from_its_requests() -> None:
-    state = state_of()
+def test_the_duration_of_a_lease_counts_from_its_request() -> None:
+    state = elector_state()
     upkeep = LeaseUpkeep(state)
     assert upkeep.safe_until() == -math.inf
     upkeep.request(1.0)
-    upkeep.request(2.0)  # it has been asked for
+    upkeep.request(2.0)  # ignored while a request is pending
     assert state.take_effects() == [RequestLease(10.0)]
     upkeep.granted(3.0, LeaseGranted(7, 10.0))
     assert upkeep.safe_until() == pytest.approx(1.0 + 10.0 * 0.95 - 0.5)
     upkeep.renew_or_revoke(upkeep.next_renewal())
-    asked_at = 1.0 + 10.0 / 3
+    renewal_sent_at = 1.0 + 10.0 / 3
     assert state.take_effects() == [RenewLease(7)]
     upkeep.renewed(LeaseRenewed(7, 10.0))
-    assert upkeep.safe_until() == pytest.approx(asked_at + 10.0 * 0.95 - 0.5)
+    assert upkeep.safe_until() == pytest.approx(renewal_sent_at + 10.0 * 0.95 - 0.5)
 
 
-def test_a_lease_that_holds_nothing_is_revoked_after_a_while() -> None:
-    state = state_of()
+def test_an_idle_lease_is_revoked() -> None:
+    state = elector_state()
     upkeep = LeaseUpkeep(state)
     upkeep.request(0.0)
     upkeep.granted(0.0, LeaseGranted(7, 10.0))
@@ -82,11 +82,11 @@
         (("a", "b"), "", True, math.inf),
     ],
 )
-def test_ranks_go_by_order_successor_and_health(
+def test_the_rank_depends_on_order_successor_and_health(
     order: tuple[str, ...], successor: str, healthy: bool, rank: float
 ) -> None:
     task = TaskOwnership("d", ranking=CandidateRanking(order), record=TaskRecord(successor=successor))
-    state = state_of(task)
+    state = elector_state(task)
     state.healthy = healthy
     candidacy = Candidacy(state, LeaseUpkeep(state))
     assert candidacy.rank(0.0, task) == rank
@@ -94,9 +94,9 @@
     assert candidacy.rank(0.0, task) == math.inf
 
 
-def test_a_task_that_no_candidate_acquired_is_open_to_all() -> None:
+def test_any_node_may_acquire_a_task_that_no_candidate_has_acquired() -> None:
     task = TaskOwnership("d", ranking=CandidateRanking(("a", "b")))
-    state = state_of(task)
+    state = elector_state(task)
     scan = StoreScan(state)
     scan.holders_listed(Snapshot(3, {holder_key("d"): Entry(b"", 2, 1)}))
     assert not task.unclaimed
@@ -107,11 +107,11 @@
     assert state.take_effects()[0] == ReadRecords(keys_of(["d"]))
 
 
-def test_records_that_cannot_be_read_stand_for_an_unknown_holder() -> None:
+def test_a_holder_record_that_cannot_be_decoded_counts_as_an_unknown_holder() -> None:
     task = TaskOwnership("d")
     task.update({holder_key("d"): Entry(b"?", 4, 9), task_key("d"): Entry(b"?", 4)}, 4)
     assert task.holder == UNREADABLE_HOLDER
-    assert (task.record, task.record_revision, task.holder_lease) == (TaskRecord(), 4, 9)
+    assert (task.record, task.record_revision, task.holder_lease_id) == (TaskRecord(), 4, 9)
     task.update({holder_key("d"): Entry(Holder("me", 8).encode(), 5, 7)}, 5)
     assert task.is_led_under("me", 7)
     assert not task.is_led_under("me", 6)
@@ -120,21 +120,21 @@
     assert {task_name(key) for key in keys_of(["d"])} == {"d"}
 
 
-def test_states_follow_each_other_as_allowed() -> None:
+def test_only_allowed_state_transitions_are_made() -> None:
     task = TaskOwnership("d")
-    state = state_of(task)
+    state = elector_state(task)
     with pytest.raises(RuntimeError):
-        state.transition(task, OwnershipState.HANDING_OVER, "out of order")
-    state.transition(task, OwnershipState.NOT_LEADING, "it is that already")
+        state.transition(task, OwnershipState.HANDING_OVER, "not allowed")
+    state.transition(task, OwnershipState.NOT_LEADING, "no change")
     assert state.take_effects() == []
 
 
-def test_nodes_that_know_the_same_highest_token_choose_different_ones() -> None:
-    taken = []
+def test_nodes_that_know_the_same_highest_token_choose_different_tokens() -> None:
+    tokens = []
     for seed in (1, 2):
-        one = SingleTaskElector()
-        one.elector.state.token_range, one.elector.state.random = TOKEN_RANGE, Random(seed)
-        one.task.highest_token = 6 * TOKEN_RANGE + 5
-        taken.append(decode_holder(one.acquire().put[HOLDER_KEY].value).fencing_token)
-    assert len(set(taken)) == 2
-    assert all(7 * TOKEN_RANGE <= fence < 8 * TOKEN_RANGE for fence in taken)
+        node = SingleTaskElector()
+        node.elector.state.token_range, node.elector.state.random = TOKEN_RANGE, Random(seed)
+        node.task.highest_token = 6 * TOKEN_RANGE + 5
+        tokens.append(decode_holder(node.acquire().put[HOLDER_KEY].value).fencing_token)
+    assert len(set(tokens)) == 2
+    assert all(7 * TOKEN_RANGE <= token < 8 * TOKEN_RANGE for token in tokens)
