--- a/tests/election/test_fleet_store_faults.py
+++ b/tests/election/test_fleet_store_faults.py
@@ -1,5 +1,7 @@
-"""Several processes that elect leaders, with faults of the store and of the network: one leader at a time,
-proven at the target.
+"""Leader election in fleets of several processes, with faults of the store and of the network.
+
+At the end of most tests, the checker verifies from the logs of the processes and the requests at the target
+that each task had at most one leader at a time.
 """
 
 from __future__ import annotations
@@ -22,13 +24,13 @@
 
 
 @pytest.mark.parametrize("engine", ENGINES)
-def test_a_leader_cut_off_from_the_store_stops_before_another_begins(engine: str) -> None:
+def test_a_leader_cut_off_from_the_store_stops_before_another_starts(engine: str) -> None:
     async def check() -> None:
         async with election_fleet(engine) as elections:
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
             if engine == "nodes" and first.name in elections.member_ports:
-                # a member is cut off by its process: there is no gate between members
+                # Members connect to each other without a gate, so the process is suspended instead.
                 elections.fleet.suspend(first)
                 await elections.wait_for_leader(other_than=first)
                 elections.fleet.resume(first)
@@ -36,17 +38,17 @@
                 rest = [node.name for node in elections.nodes if node is not first]
                 elections.fleet.net.cut([first.name], ["store", *rest])
                 second = await elections.wait_for_leader(other_than=first)
-                lost = [line for line in first.events("duty") if line["state"] == "doubtful"]
-                taken = [line for line in second.events("duty") if line["state"] == "holding"]
-                assert lost[-1]["at"] <= taken[-1]["at"]
-                assert (await first.ask("GET", "/balance/1")).status == 200, "service goes on"
+                uncertain = [line for line in first.events("duty") if line["state"] == "doubtful"]
+                acquired = [line for line in second.events("duty") if line["state"] == "holding"]
+                assert uncertain[-1]["at"] <= acquired[-1]["at"]
+                assert (await first.ask("GET", "/balance/1")).status == 200, "requests are still answered"
                 elections.fleet.net.cut([first.name], ["store", *rest], None)
             await soon(lambda: any(line["state"] == "without" for line in first.events("duty")))
 
     play(check)
 
 
-def test_cuts_that_heal_and_come_back_faster_than_the_lease_change_nothing() -> None:
+def test_repeated_cuts_shorter_than_the_lease_do_not_change_the_leader() -> None:
     async def check() -> None:
         async with election_fleet("etcd") as elections:
             await elections.fleet.start_all()
@@ -68,22 +70,24 @@
         async with election_fleet("etcd") as elections:
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
-            elections.fleet.net.set("store", first.name, Rule(hole=True))  # it is heard, and hears nothing
+            # Requests reach the store, but its answers do not come back.
+            elections.fleet.net.set("store", first.name, Rule(hole=True))
             await soon(lambda: first.events("duty")[-1]["state"] == "doubtful")
-            at = time.time()
+            uncertain_at = time.time()
             await asyncio.sleep(0.3)
-            assert not elections.effects_since(at + 0.1) or elections.leader() is not first
+            assert not elections.effects_since(uncertain_at + 0.1) or elections.leader() is not first
             elections.fleet.net.set("store", first.name, None)
             await elections.wait_for_leader()
 
     play(check)
 
 
-def test_a_store_that_loses_answers_and_its_leader_gives_no_task_twice() -> None:
+def test_lost_answers_and_a_leaderless_store_never_cause_two_leaders() -> None:
     async def check() -> None:
         async with election_fleet("etcd") as elections:
             assert elections.store
-            elections.store.lost_answers["Txn"] = 2  # the first takings are done, and nobody hears of it
+            # The first acquisitions are applied, but their answers are lost.
+            elections.store.lost_answers["Txn"] = 2
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
             elections.store.lost_answers["LeaseKeepAlive"] = 2
@@ -98,61 +102,62 @@
             elections.store.lost_answers["Txn"] = 1
             holder = elections.leader()
             assert holder
-            await elections.fleet.drain(
-                holder
-            )  # the release is done, or the next change is, and nobody hears of it
+            # The release is applied, or the next change, but its answer is lost.
+            await elections.fleet.drain(holder)
             await elections.wait_for_leader(other_than=holder)
 
     play(check)
 
 
-def test_a_store_that_ends_leases_early_and_forgets_its_past_is_survived() -> None:
+def test_leases_that_expire_early_and_a_store_that_loses_its_data_are_survived() -> None:
     async def check() -> None:
         async with election_fleet("etcd", tolerance=LEASE) as elections:
             assert elections.store
             await elections.fleet.start_all()
             await elections.wait_for_leader()
-            elections.store.lease_fraction = 0.25  # before a keep-alive comes
+            elections.store.lease_fraction = 0.25  # leases expire before they are renewed
             await asyncio.sleep(2 * LEASE)
             elections.store.lease_fraction = 1.0
             elections.store.compact()
             elections.store.end_watches()
             await elections.wait_for_leader()
-            elections.store.forget()  # another store, without a record of any number
+            elections.store.forget()  # like a new store, without any fencing token
             began = time.time()
             await soon(lambda: elections.effects_since(began + LEASE) > 5)
-            fences = [effect.fencing_token for effect in elections.target.applied("settle")]
-            assert fences == sorted(fences), "tokens go on above those that the target has seen"
+            tokens = [effect.fencing_token for effect in elections.target.applied("settle")]
+            assert tokens == sorted(tokens), "new tokens are above those that the target has seen"
 
     play(check)
 
 
-def test_sighup_with_another_store_moves_all_nodes_to_it() -> None:
+def test_all_nodes_move_to_another_store_on_sighup() -> None:
     async def check() -> None:
-        other = EtcdStub()
-        await other.start()
+        new_store = EtcdStub()
+        await new_store.start()
         async with election_fleet("etcd") as elections:
             await elections.fleet.start_all()
             await elections.wait_for_leader()
-            # a signal that comes before a process has blocked it would kill the process
+            # SIGHUP would kill a process that has not blocked the signal yet.
             await soon(lambda: all(node.events("phase") for node in elections.nodes))
             for node in elections.nodes:
-                node.store_gate = await elections.fleet.net.gate("store", 0, other.port, source=node.name)
+                node.store_gate = await elections.fleet.net.gate("store", 0, new_store.port, source=node.name)
                 elections.fleet.write(node)
             for node in elections.nodes:
                 node.send(signal.SIGHUP)
             began = time.time()
             await soon(lambda: all(node.events("reloaded") for node in elections.nodes))
-            await soon(lambda: other.requests_by_method["Txn"] and elections.effects_since(began + 1.0) > 5)
+            await soon(
+                lambda: new_store.requests_by_method["Txn"] and elections.effects_since(began + 1.0) > 5
+            )
             holders = {line["server"] for node in elections.nodes for line in node.events("duty")[-1:]
                        if line["state"] == "holding"}  # fmt: skip
             assert len(holders) == 1
-        await other.stop()
+        await new_store.stop()
 
     play(check)
 
 
-def test_the_members_journal_outlives_all_of_them() -> None:
+def test_the_raft_journal_survives_a_restart_of_all_members() -> None:
     async def check() -> None:
         async with election_fleet("nodes", 3) as elections:
             await elections.fleet.start_all()
@@ -164,30 +169,30 @@
             await elections.fleet.start_all()
             await elections.wait_for_leader()
             assert elections.target.highest_tokens["settle"] > highest
-            assert elections.in_order(), "the checkpoint was saved"
+            assert elections.in_order(), "the checkpoint was preserved"
 
     play(check)
 
 
-def test_a_store_that_a_minority_reaches_alone_gives_the_task_to_one_of_them() -> None:
+def test_a_minority_that_alone_reaches_the_store_gets_the_task() -> None:
     async def check() -> None:
         async with election_fleet("etcd") as elections:
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
             await soon(lambda: elections.fleet.all_know(5))
-            near = [node for node in elections.nodes if node is not first][:2]
-            away = [node for node in elections.nodes if node not in near]
-            elections.fleet.net.cut([node.name for node in away], ["store"])
+            connected = [node for node in elections.nodes if node is not first][:2]
+            cut_off = [node for node in elections.nodes if node not in connected]
+            elections.fleet.net.cut([node.name for node in cut_off], ["store"])
             second = await elections.wait_for_leader(other_than=first)
-            assert second in near
-            elections.fleet.net.cut([node.name for node in away], ["store"], None)
+            assert second in connected
+            elections.fleet.net.cut([node.name for node in cut_off], ["store"], None)
             await soon(lambda: first.events("duty")[-1]["state"] == "without")
             await soon(lambda: elections.leader() not in (None, first))
 
     play(check)
 
 
-def test_a_leader_that_peers_do_not_reach_goes_on() -> None:
+def test_a_leader_that_its_peers_cannot_reach_stays_leader() -> None:
     async def check() -> None:
         async with election_fleet("etcd") as elections:
             await elections.fleet.start_all()
@@ -202,22 +207,22 @@
     play(check)
 
 
-def test_wall_clocks_that_step_by_an_hour_change_nothing() -> None:
+def test_wall_clock_steps_of_an_hour_do_not_change_the_leader() -> None:
     async def check() -> None:
         async with election_fleet("etcd", 4, faultless=False) as elections:
             for number, name in enumerate(elections.fleet.nodes):
-                by = (3600, -3600, 7200, 0)[number]
+                step = (3600, -3600, 7200, 0)[number]
                 elections.fleet.env[name] = {
-                    "PYTHONPATH": f"{STEPPED}:{ROOT}", "STEP_BY": str(by), "STEP_AFTER": "4",
+                    "PYTHONPATH": f"{STEPPED}:{ROOT}", "STEP_BY": str(step), "STEP_AFTER": "4",
                 }  # fmt: skip
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
             for node in elections.nodes[:3]:
                 await soon(lambda node=node: abs(node.logged()[-1]["at"] - time.time()) > 1800)  # type: ignore[misc]
-            at = time.time()
+            stepped_at = time.time()
             await asyncio.sleep(2 * LEASE)
             assert elections.leader() is first
-            assert elections.effects_since(at) > 5
+            assert elections.effects_since(stepped_at) > 5
             assert {line["state"] for line in first.events("duty")} <= {"asking", "holding"}
             await elections.fleet.kill(first)
             await elections.wait_for_leader(other_than=first)
