--- a/shelfhaven/election/actor.py
+++ b/shelfhaven/election/actor.py
@@ -286,7 +286,7 @@
     async def _watch(self, effect: messages.WatchRecords) -> None:
         retry_after: float | None = None
         try:
-            async for snapshot in self.store.watch(effect.keys, effect.after):
+            async for snapshot in self.store.watch(effect.keys, effect.after_revision):
                 self.tell(messages.RecordsChanged(snapshot))
         except ConsensusError as error:
             retry_after = error.retry_after
--- a/shelfhaven/election/administration.py
+++ b/shelfhaven/election/administration.py
@@ -25,7 +25,7 @@
     decode_holder,
     decode_task_record,
     holder_key,
-    keys_of,
+    keys_of_tasks,
     task_key,
 )
 from shelfhaven.errors import ShelfhavenError
@@ -82,7 +82,7 @@
 
 async def read_statuses(store: ConsensusStore, names: Sequence[str]) -> list[TaskStatus]:
     """Read all of these tasks. Raises ConsensusError."""
-    items = (await store.read(keys_of(names))).items
+    items = (await store.read(keys_of_tasks(names))).items
     return [_status(name, items) for name in names]
 
 
--- a/shelfhaven/election/candidacy.py
+++ b/shelfhaven/election/candidacy.py
@@ -47,7 +47,7 @@
         relinquished = task.state is OwnershipState.RELINQUISHED
         if relinquished and not self.state.draining and not task.record.disabled:
             self.state.transition(task, OwnershipState.NOT_LEADING, "operators gave it back")
-        if task.state is not OwnershipState.NOT_LEADING or task.holder is not None or not task.known:
+        if task.state is not OwnershipState.NOT_LEADING or task.holder is not None or not task.records_known:
             task.acquire_at = math.inf
             return
         rank = self.rank(now, task)
--- a/shelfhaven/election/elector.py
+++ b/shelfhaven/election/elector.py
@@ -227,7 +227,7 @@
         for name, ranking in event.rankings.items():
             task = state.tasks.setdefault(name, TaskOwnership(name))
             task.ranking = ranking
-            if task.is_candidate(state.node) and holder_key(name) not in self.store_scan.watched_keys:
+            if task.is_relevant_to(state.node) and holder_key(name) not in self.store_scan.watched_keys:
                 state.reread([name])  # what is known of it may be old
         for name in [name for name in state.tasks if name not in event.rankings]:
             self._remove_from_file(state.tasks[name])
--- a/shelfhaven/election/elector_state.py
+++ b/shelfhaven/election/elector_state.py
@@ -100,7 +100,7 @@
     def active_tasks(self) -> list[TaskOwnership]:
         """Return the tasks that this node has anything to do with."""
         if self._active_tasks_outdated:
-            self._active_tasks = [task for task in self.tasks.values() if task.is_candidate(self.node)]
+            self._active_tasks = [task for task in self.tasks.values() if task.is_relevant_to(self.node)]
             self._active_tasks_outdated = False
         return self._active_tasks
 
--- a/shelfhaven/election/messages.py
+++ b/shelfhaven/election/messages.py
@@ -262,7 +262,7 @@
     """
 
     keys: tuple[str, ...]
-    after: int
+    after_revision: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/shelfhaven/election/ownership_changes.py
+++ b/shelfhaven/election/ownership_changes.py
@@ -116,7 +116,7 @@
             if task.is_owned_or_acquiring:
                 self.lost(now, task, "the store was replaced")
             task.forget_records()
-            if task.is_candidate(self.state.node):
+            if task.is_relevant_to(self.state.node):
                 self.state.reread([task.name])
         self.lease.forget()
 
--- a/shelfhaven/election/records.py
+++ b/shelfhaven/election/records.py
@@ -48,7 +48,7 @@
     return key.partition("/")[2]
 
 
-def keys_of(names: Iterable[str]) -> tuple[str, ...]:
+def keys_of_tasks(names: Iterable[str]) -> tuple[str, ...]:
     """Return the keys of the records of several tasks, two for each task."""
     return tuple(key for name in names for key in record_keys(name))
 
--- a/shelfhaven/election/store_scan.py
+++ b/shelfhaven/election/store_scan.py
@@ -12,7 +12,7 @@
 from shelfhaven.consensus.store import Snapshot
 from shelfhaven.election.elector_state import ElectorState
 from shelfhaven.election.messages import CancelWatch, ListHolders, ReadRecords, WatchRecords
-from shelfhaven.election.records import keys_of, task_name
+from shelfhaven.election.records import keys_of_tasks, task_name
 from shelfhaven.election.task_ownership import OwnershipState
 
 
@@ -106,7 +106,7 @@
         if not state.records_to_read or self.keys_being_read:
             return
         names = [name for name in state.records_to_read if name in state.tasks]
-        self.keys_being_read = keys_of(names)
+        self.keys_being_read = keys_of_tasks(names)
         state.records_to_read.clear()
         if not self.keys_being_read:
             return
@@ -117,7 +117,9 @@
 
     def _update_watch(self) -> None:
         state = self.state
-        tasks = sorted((task for task in state.active_tasks() if task.known), key=lambda task: task.name)
+        tasks = sorted(
+            (task for task in state.active_tasks() if task.records_known), key=lambda task: task.name
+        )
         keys = tuple(key for task in tasks for key in task.keys)
         if keys == self.watched_keys or self.keys_being_read or state.draining:
             return
--- a/shelfhaven/election/store_updates.py
+++ b/shelfhaven/election/store_updates.py
@@ -47,7 +47,7 @@
                 self.state.reread([task.name])
             else:  # a revision below the one known when the read was sent means that the store was replaced
                 self._update_records(task, snapshot.items, snapshot.revision)
-                task.known = True
+                task.records_known = True
                 if task.state is OwnershipState.ACQUIRING and not task.has_open_write:
                     self.state.transition(task, OwnershipState.NOT_LEADING, "the records were read again")
                 self._reconcile(now, task)
--- a/shelfhaven/election/task_ownership.py
+++ b/shelfhaven/election/task_ownership.py
@@ -86,7 +86,7 @@
     ranking: CandidateRanking = field(default=NO_CANDIDATES)
 
     # The records as this node knows them
-    known: bool = False  # whether they have been read
+    records_known: bool = False  # whether they have been read
     revision: int = 0  # of the store, at which they were current
     revision_when_read: int = 0  # value of `revision` when the read in flight was sent
     holder: Holder | None = None
@@ -147,7 +147,7 @@
         )
         return may_save and self.unsaved_checkpoint is not None and not self.has_open_write
 
-    def is_candidate(self, node: str) -> bool:
+    def is_relevant_to(self, node: str) -> bool:
         """Whether a node leads the task, or may acquire it."""
         eligible = self.ranking.rank(node) is not None or self.record.successor == node or self.unclaimed
         return eligible or self.is_owned_or_acquiring
@@ -187,7 +187,7 @@
         token are kept.
         """
         self.pending_write = self.unresolved_write = None
-        self.known = False
+        self.records_known = False
         self.revision = 0
         self.holder = None
         self.holder_revision = 0
--- a/shelfhaven/lab/election_simulation.py
+++ b/shelfhaven/lab/election_simulation.py
@@ -283,7 +283,7 @@
         return messages.HoldersListed(self.store.list_prefix(HOLDER_PREFIX))
 
     def _begin_watch(self, effect: messages.WatchRecords) -> messages.Input | None:
-        changed = self.store.changes_since(effect.keys, effect.after)
+        changed = self.store.changes_since(effect.keys, effect.after_revision)
         if changed is None:
             return messages.WatchEnded()
         return messages.RecordsChanged(changed) if changed.items else None
--- a/tests/election/helpers.py
+++ b/tests/election/helpers.py
@@ -103,14 +103,14 @@
     def __init__(self, checkpoint: str = "", fencing_token: int = 3) -> None:
         self.time_to_act = 10.0
         self.checkpoints: list[str] = []
-        self.rejected_by: list[int] = []  # higher tokens, reported with rejections
+        self.reported_tokens: list[int] = []  # higher tokens, reported with rejections
         self.lease = LeaderLease(
             "d",
             fencing_token,
             checkpoint,
             lambda: self.time_to_act,
             self._checkpoint_reached,
-            self.rejected_by.append,
+            self.reported_tokens.append,
         )
 
     def _checkpoint_reached(self, checkpoint: str) -> None:
@@ -118,7 +118,7 @@
         asyncio.get_running_loop().call_soon(self.lease.checkpoint_saved, checkpoint)
 
 
-def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
+def run_with_timeout(test: Callable[[], Awaitable[None]]) -> None:
     """Run a test in an event loop, with a time limit."""
 
     async def with_timeout() -> None:
@@ -128,7 +128,7 @@
     asyncio.run(with_timeout())
 
 
-async def soon(condition: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     """Wait until a condition is true. Raises TimeoutError."""
     async with asyncio.timeout(10):
         while not condition():
--- a/tests/election/test_actor.py
+++ b/tests/election/test_actor.py
@@ -25,8 +25,8 @@
 from shelfhaven.program.singleton_tasks import SingletonTasksComponent
 from tests.election.helpers import (
     LOG,
-    run_bounded,
-    soon,
+    run_with_timeout,
+    wait_until,
 )
 
 
@@ -55,19 +55,19 @@
         for actor in actors:
             actor.nodes_changed([CandidateNode("a"), CandidateNode("b")])
             actor.start()
-        await soon(lambda: ran)
+        await wait_until(lambda: ran)
         first = next(actor for actor in actors if actor.elector.led_tasks())
         second = actors[1 - actors.index(first)]
         await asyncio.sleep(0.6)
         first.drain()
-        await soon(lambda: len(ran) == 2)
+        await wait_until(lambda: len(ran) == 2)
         assert 0 < ran[0][1] < ran[1][1]
         assert int(ran[1][2]) > 5, "the second goes on where the first stood"
         assert second.load_now()["holding"] == ["d"]
         await first.close()
         await second.close()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_work_that_was_stopped_says_nothing_of_the_work_started_after_it(
@@ -96,11 +96,11 @@
         await asyncio.sleep(0.05)
         assert told == []
         actor.task_runner.carry_out(messages.FinishTask("d", 5, 1.0))
-        await soon(lambda: told)
+        await wait_until(lambda: told)
         assert told == [messages.TaskEnded("d", 5, False)]
         await actor.close()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_rankings_of_the_file_before_name_no_list_watchers_of_the_new_one() -> None:
@@ -145,4 +145,4 @@
         assert lines == [*failures, ("duty_work_over", None)]
         assert not runner.leases
 
-    run_bounded(check)
+    run_with_timeout(check)
--- a/tests/election/test_administration.py
+++ b/tests/election/test_administration.py
@@ -14,7 +14,7 @@
 from shelfhaven.election.administration import TaskStatus
 from shelfhaven.election.candidate_ranking import NO_CANDIDATES, CandidateRanking
 from shelfhaven.election.records import Holder, TaskRecord, holder_key, task_key
-from tests.election.helpers import run_bounded
+from tests.election.helpers import run_with_timeout
 
 HOLDER = Holder("n1", 7, "127.0.0.1:4200")
 RECORD = TaskRecord(7, "120", "n1")
@@ -105,4 +105,4 @@
         refused = await administration.carry_out(engine, taken_away)
         assert refused.exit_code == administration.EXIT_CONFLICT
 
-    run_bounded(check)
+    run_with_timeout(check)
--- a/tests/election/test_components.py
+++ b/tests/election/test_components.py
@@ -25,7 +25,7 @@
     TaskRecord,
     decode_holder,
     holder_key,
-    keys_of,
+    keys_of_tasks,
     task_key,
     task_name,
 )
@@ -104,7 +104,7 @@
     assert task.unclaimed
     assert Candidacy(state, LeaseUpkeep(state)).rank(0.0, task) == FALLBACK_RANK
     scan.send_requests(0.0)
-    assert state.take_effects()[0] == ReadRecords(keys_of(["d"]))
+    assert state.take_effects()[0] == ReadRecords(keys_of_tasks(["d"]))
 
 
 def test_a_holder_record_that_cannot_be_decoded_counts_as_an_unknown_holder() -> None:
@@ -117,7 +117,7 @@
     assert not task.is_led_under("me", 6)
     assert not task.is_led_under("me", None)
     assert task.highest_token == 8
-    assert {task_name(key) for key in keys_of(["d"])} == {"d"}
+    assert {task_name(key) for key in keys_of_tasks(["d"])} == {"d"}
 
 
 def test_only_allowed_state_transitions_are_made() -> None:
--- a/tests/election/test_fenced_target.py
+++ b/tests/election/test_fenced_target.py
@@ -9,7 +9,7 @@
 from shelfhaven.election.fenced_target import FENCING_HEADER, FencedTarget, TargetError
 from shelfhaven.election.lease import FencedOffError, LeaseUncertainError, Permit
 from shelfhaven.lab.fenced_store import FencedStore, Mode
-from tests.election.helpers import run_bounded
+from tests.election.helpers import run_with_timeout
 
 
 def test_a_target_rejects_lower_tokens_and_reports_the_highest() -> None:
@@ -43,7 +43,7 @@
         target_without_checks.close()
         await service.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 @pytest.mark.parametrize("header", ["", "d", "d x", "d -1", "d " + 19 * "9", "d \u00b2"])
@@ -63,4 +63,4 @@
         assert rejection.value.highest == 0
         target.close()
 
-    run_bounded(check)
+    run_with_timeout(check)
--- a/tests/election/test_lease.py
+++ b/tests/election/test_lease.py
@@ -9,7 +9,7 @@
 from shelfhaven.election.lease import FencedOffError, LeaseLostError, LeaseUncertainError, Permit
 from tests.election.helpers import (
     ControlledLease,
-    run_bounded,
+    run_with_timeout,
 )
 
 
@@ -49,7 +49,7 @@
         with pytest.raises(LeaseLostError):
             await held.lease.act(quick)
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_an_action_that_needs_time_waits_for_a_lease_that_has_it() -> None:
@@ -66,7 +66,7 @@
         held.time_to_act = 5.0
         assert await waiting == "done"
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_a_higher_token_seen_is_told_to_the_elector() -> None:
@@ -78,6 +78,6 @@
 
         with pytest.raises(LeaseUncertainError):
             await held.lease.act(refused)
-        assert held.rejected_by == [9]
+        assert held.reported_tokens == [9]
 
-    run_bounded(check)
+    run_with_timeout(check)
--- a/tests/election/test_reconcile_task.py
+++ b/tests/election/test_reconcile_task.py
@@ -22,8 +22,8 @@
 from tests.election.helpers import (
     LOG,
     ControlledLease,
-    run_bounded,
-    soon,
+    run_with_timeout,
+    wait_until,
 )
 
 
@@ -61,7 +61,7 @@
         controlled = ControlledLease()
         task = ReconcileTask(FencedTarget(target.url, 0.5), 0.01, local, services, LOG)
         running = asyncio.ensure_future(task.run(controlled.lease))
-        await soon(lambda: not local.by_id and not services.operations.by_id)
+        await wait_until(lambda: not local.by_id and not services.operations.by_id)
         controlled.lease.finishing.set()
         await running
         assert sorted(effect.key for effect in target.applied("d")) == [
@@ -71,7 +71,7 @@
         task.close()
         await target.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_unresolved_operations_are_bounded_and_invalid_ones_are_rejected() -> None:
@@ -93,9 +93,9 @@
     async def check() -> None:
         services, controlled = FakeNodeServices(), ControlledLease()
         running = asyncio.ensure_future(WatchListTask(services).run(controlled.lease))
-        await soon(lambda: services.watch_changes == [True])
+        await wait_until(lambda: services.watch_changes == [True])
         controlled.lease.finishing.set()
         await running
         assert services.watch_changes == [True, False]
 
-    run_bounded(check)
+    run_with_timeout(check)
--- a/tests/election/test_send_task.py
+++ b/tests/election/test_send_task.py
@@ -16,8 +16,8 @@
 from tests.election.helpers import (
     LOG,
     ControlledLease,
-    run_bounded,
-    soon,
+    run_with_timeout,
+    wait_until,
 )
 
 
@@ -59,16 +59,16 @@
         await scenario.target.start()
         first_term = ControlledLease()
         running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
-        await soon(lambda: first_term.checkpoints and first_term.checkpoints[-1] == "6")
+        await wait_until(lambda: first_term.checkpoints and first_term.checkpoints[-1] == "6")
         with scenario.path.open("a") as file:
             file.write("6\n7")  # the last line is incomplete
-        await soon(lambda: first_term.checkpoints[-1] == "7")
+        await wait_until(lambda: first_term.checkpoints[-1] == "7")
         first_term.lease.finishing.set()
         await running
         assert scenario.sent_keys() == ["d/0", "d/2", "d/4", "d/6"]
         second_term = ControlledLease("4", 4)
         running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
-        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "7")
+        await wait_until(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "7")
         second_term.lease.finishing.set()
         await running
         assert scenario.sent_keys()[4:] == ["d/4", "d/6"]
@@ -78,7 +78,7 @@
         ], "sent again under the same keys"
         await scenario.target.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_a_batch_keeps_its_contents_under_its_key_while_the_file_grows(tmp_path: Path) -> None:
@@ -88,17 +88,17 @@
         scenario.target.mode = Mode.LOSE
         first_term = ControlledLease()
         running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
-        await soon(lambda: scenario.target.requests)
+        await wait_until(lambda: scenario.target.requests)
         with scenario.path.open("a") as file:
             file.write("2\n3\n")
-        await soon(lambda: len(scenario.target.requests) > 1)
+        await wait_until(lambda: len(scenario.target.requests) > 1)
         first_term.lease.revoke()  # another leader continues, with a different batch size
         with pytest.raises(LeaseLostError):
             await running
         scenario.target.mode, scenario.batch_size = Mode.SERVE, 3
         second_term = ControlledLease(first_term.checkpoints[-1], 4)
         running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
-        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "4")
+        await wait_until(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "4")
         second_term.lease.finishing.set()
         await running
         bodies = {effect.key: effect.body for effect in scenario.target.requests}
@@ -106,7 +106,7 @@
         assert not any(effect.body_changed for effect in scenario.target.requests)
         await scenario.target.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_a_batch_that_must_not_be_resent_is_skipped_and_logged(
@@ -120,24 +120,24 @@
         scenario.target.mode = Mode.LOSE
         first_term = ControlledLease()
         running = asyncio.ensure_future(scenario.make_task().run(first_term.lease))
-        await soon(lambda: len(scenario.target.requests) == 1)
+        await wait_until(lambda: len(scenario.target.requests) == 1)
         assert first_term.checkpoints == ["0?2"], "the checkpoint is saved before the batch is sent"
         scenario.target.mode = Mode.SERVE
-        await soon(lambda: first_term.checkpoints[-1] == "6")
+        await wait_until(lambda: first_term.checkpoints[-1] == "6")
         first_term.lease.finishing.set()
         await running
         assert scenario.sent_keys() == ["d/0", "d/2", "d/4"]
         assert [line["piece"] for line in logged if line["event"] == "duty_unclear"] == [0]
         second_term = ControlledLease("2?4", 4)
         running = asyncio.ensure_future(scenario.make_task().run(second_term.lease))
-        await soon(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "6")
+        await wait_until(lambda: second_term.checkpoints and second_term.checkpoints[-1] == "6")
         second_term.lease.finishing.set()
         await running
         assert scenario.sent_keys()[3:] == ["d/4"], "a batch that may have been sent is skipped"
         assert [line["piece"] for line in logged if line["event"] == "duty_unclear"] == [0, 2]
         await scenario.target.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
 
 
 def test_the_task_fails_after_repeated_errors_and_without_its_file(tmp_path: Path) -> None:
@@ -154,4 +154,4 @@
             await without_file.run(ControlledLease().lease)
         await scenario.target.stop()
 
-    run_bounded(check)
+    run_with_timeout(check)
