--- a/shelfhaven/election/administration.py
+++ b/shelfhaven/election/administration.py
@@ -1,7 +1,8 @@
-"""Inspects singleton tasks and moves them, for the command line.
+"""Shows, assigns and disables singleton tasks, for the command line.
 
-Owns the questions to the consensus store, and how its answers are shown. It must never change anything
-without having been told to, nor without comparing what it saw: somebody else may have changed it meanwhile.
+This module reads and writes the records in the consensus store, and formats the output. It plans a change and
+applies it in two steps, so that the operator can confirm it. A write applies only to the records that the
+operator has seen, because they may have changed in the meantime.
 """
 
 from __future__ import annotations
@@ -30,18 +31,18 @@
 )
 from shelfhaven.errors import ShelfhavenError
 
-ATTEMPTS = 20  # against a leader that saves checkpoints meanwhile
-EXIT_UNREACHED = 3  # no answer of the store
-EXIT_CONFLICT = 4  # somebody else changed it meanwhile
+MAX_ATTEMPTS = 20  # of a write that conflicts with the checkpoints of the task's leader
+EXIT_UNREACHED = 3  # no answer from the store
+EXIT_CONFLICT = 4  # the record has changed in the meantime
 
 
 class NotACandidateError(ShelfhavenError):
-    """A task was to be given to a node that is none of its candidates."""
+    """The node to which a task was to be given is not one of its candidates."""
 
 
 @dataclass(frozen=True, slots=True)
 class TaskStatus:
-    """A task as the store has it."""
+    """The records of a task in the store."""
 
     name: str
     holder: Holder | None
@@ -50,101 +51,108 @@
 
     @property
     def summary(self) -> str:
-        """Who leads it, and what operators ordered."""
-        holder = self.holder.node if self.holder else "-"
+        """The leader ("-" for none), and whether the task is disabled or given to another node."""
+        leader = self.holder.node if self.holder else "-"
         if self.record.disabled:
-            return f"{holder} (taken away)"
+            return f"{leader} (taken away)"
         if self.record.successor:
-            return f"{holder} (given to {self.record.successor})"
-        return holder
+            return f"{leader} (given to {self.record.successor})"
+        return leader
 
     @property
-    def holder_name(self) -> str:
-        """The leader's name, or nobody."""
+    def leader_name(self) -> str:
+        """The name of the leader, or "nobody"."""
         return self.holder.node if self.holder else "nobody"
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedChange:
-    """The record that is to replace that of a status, and what would happen."""
+    """A new record for a task, the status that it is based on, and a description for the operator."""
 
     status: TaskStatus
     record: TaskRecord
     description: str
 
 
-def _status(name: str, items: Mapping[str, Entry | None]) -> TaskStatus:
-    holder, entry = items.get(holder_key(name)), items.get(task_key(name))
-    record = decode_task_record(entry.value) if entry else TaskRecord()
-    revision = entry.revision if entry else 0
-    return TaskStatus(name, decode_holder(holder.value) if holder else None, record, revision)
+def _decode_status(name: str, items: Mapping[str, Entry | None]) -> TaskStatus:
+    holder_entry, record_entry = items.get(holder_key(name)), items.get(task_key(name))
+    record = decode_task_record(record_entry.value) if record_entry else TaskRecord()
+    revision = record_entry.revision if record_entry else 0
+    return TaskStatus(name, decode_holder(holder_entry.value) if holder_entry else None, record, revision)
 
 
 async def read_statuses(store: ConsensusStore, names: Sequence[str]) -> list[TaskStatus]:
-    """Read all of these tasks. Raises ConsensusError."""
+    """Read the status of each of these tasks. Raises ConsensusError."""
     items = (await store.read(keys_of(names))).items
-    return [_status(name, items) for name in names]
+    return [_decode_status(name, items) for name in names]
 
 
 def format_table(statuses: Sequence[TaskStatus]) -> list[str]:
-    """Return one line a task."""
-    heading = f"{'duty':24} {'number':>8}  holder"
-    return [heading, *(f"{one.name:24} {one.record.fencing_token:8}  {one.summary}" for one in statuses)]
+    """Return a table of tasks: a heading, then one line per task."""
+    heading = f"{'duty':24} {'token':>8}  leader"
+    return [
+        heading,
+        *(f"{status.name:24} {status.record.fencing_token:8}  {status.summary}" for status in statuses),
+    ]
 
 
 def format_detail(status: TaskStatus, ranking: CandidateRanking) -> list[str]:
-    """Return all that is known of a task."""
+    """Return the lines of a detailed description of a task."""
     record, holder = status.record, status.holder
     lines = [
         f"{status.name}: {status.summary}",
-        f"number {record.fencing_token}, last taken by {record.last_holder or 'nobody'}",
+        f"fencing token {record.fencing_token}, last leader: {record.last_holder or 'nobody'}",
     ]
     if holder:
         address = holder.address or "-"
-        lines.append(f"held under {holder.fencing_token} by {holder.node}, asked at {address}")
+        lines.append(f"current term: token {holder.fencing_token}, node {holder.node}, address {address}")
     lines.append(f"stand by, in order: {', '.join(ranking.order) or 'nobody'}")
-    return [*lines, f"note: {record.checkpoint!r}"]
+    return [*lines, f"checkpoint: {record.checkpoint!r}"]
 
 
 def plan_giving(status: TaskStatus, node: str, ranking: CandidateRanking) -> PlannedChange:
-    """Plan to give a task to a candidate, "" for the first one. Raises NotACandidateError."""
+    """Plan to give a task to a candidate, or with "" to the first one. Raises NotACandidateError."""
     if node and node not in ranking.order:
         candidates = ", ".join(ranking.order) or "nobody"
-        raise NotACandidateError(f"{node} does not stand by for {status.name}; who does: {candidates}")
-    successor = node or (ranking.order[0] if ranking.order else "nobody: nobody stands by")
-    description = f"{status.name}: from {status.holder_name} to {successor}, once what is in hand is done"
+        raise NotACandidateError(f"{node} is not a candidate for {status.name}; candidates: {candidates}")
+    successor = node or (ranking.order[0] if ranking.order else "nobody, because there is no candidate")
+    description = (
+        f"{status.name}: from {status.leader_name} to {successor}, after the work in progress has ended"
+    )
     return PlannedChange(status, replace(status.record, successor=node, disabled=False), description)
 
 
 def plan_disabling(status: TaskStatus) -> PlannedChange:
-    """Plan to take a task from everybody."""
-    description = f"{status.name}: from {status.holder_name}; nobody does it until it is given again"
+    """Plan to disable a task: its leader hands it over, and no node acquires it."""
+    description = f"{status.name}: taken from {status.leader_name}; no node runs it until it is given again"
     return PlannedChange(status, replace(status.record, disabled=True, successor=""), description)
 
 
 async def carry_out(store: ConsensusStore, change: PlannedChange) -> CommandOutput:
-    """Write the planned record in place of the one that was seen.
+    """Write the planned record if the stored one is still the one on which the plan is based.
 
-    A leader saves checkpoints there many times a second: where nothing but the checkpoint has changed, it is
-    taken over and the write retried.
+    The leader may save checkpoints in this record many times a second. If only the checkpoint has changed,
+    the write is retried with the new checkpoint.
     """
     status, record = change.status, change.record
     name, revision = status.name, status.record_revision
     key = task_key(name)
-    for _ in range(ATTEMPTS):
+    for _ in range(MAX_ATTEMPTS):
         try:
             result = await store.compare_and_set(CompareAndSet({key: revision}, {key: Put(record.encode())}))
         except OutcomeUnknownError as error:
-            text = f"{name}: it is not clear whether that was done: {error}; look with 'show'"
+            text = f"{name}: the outcome of the change is unknown: {error}; check with 'show'"
             return CommandOutput([text], EXIT_UNREACHED)
         except ConsensusError as error:
-            return CommandOutput([f"{name}: not done: {error}"], EXIT_UNREACHED)
+            return CommandOutput([f"{name}: the change failed: {error}"], EXIT_UNREACHED)
         if result.applied:
-            return CommandOutput([f"{name}: done; its holder hands it on in order"])
+            return CommandOutput([f"{name}: done; its leader, if any, hands it over"])
         entry = result.current.get(key)
         current = decode_task_record(entry.value) if entry else TaskRecord()
         if entry is None or replace(current, checkpoint=status.record.checkpoint) != status.record:
             break
         record = replace(record, checkpoint=current.checkpoint)
         revision = entry.revision
-    return CommandOutput([f"{name}: somebody has changed it meanwhile; nothing was done"], EXIT_CONFLICT)
+    return CommandOutput(
+        [f"{name}: the record has changed in the meantime; nothing was written"], EXIT_CONFLICT
+    )
