--- a/shelfhaven/election/__init__.py
+++ b/shelfhaven/election/__init__.py
@@ -1,1 +1,1 @@
-"""Leader election for tasks that one node runs at a time: leases, fencing tokens, candidates, hand-over."""
+"""Leader election for singleton tasks: leases, fencing tokens, candidate ranking and hand-over."""
--- a/shelfhaven/election/actor.py
+++ b/shelfhaven/election/actor.py
@@ -1,7 +1,8 @@
-"""Runs one node's elector: carries out its effects on the consensus store and on the node's work.
+"""Runs the elector of a node and carries out its effects on the consensus store and the singleton tasks.
 
-Owns the requests to the store, the watch, the timers and the ranking of candidates. It must never decide
-(`elector.py` does), nor let a client's request wait.
+This module sends the requests to the store, runs the watch and the timers, and has the candidates ranked. All
+decisions are made in `elector.py`. Nothing here may block the event loop, which also serves requests of
+clients.
 """
 
 from __future__ import annotations
@@ -26,47 +27,48 @@
 from shelfhaven.server.log import Log
 
 WAKE_DELAY_MIN = 0.002  # seconds
-RANKING_INTERVAL = 1.0  # seconds between two rankings at least
-RANKING_REST = 20.0  # times what a ranking took, until the next one
-HEALTH_MIN = 0.5  # of the node's health, to lead
+RANKING_INTERVAL_MIN = 1.0  # seconds between two rankings
+RANKING_PAUSE_FACTOR = 20.0  # the pause after a ranking, as a multiple of its duration
+LEADER_HEALTH_MIN = 0.5  # health below which a node should not lead
 HEALTH_CHECK_INTERVAL = 0.5  # seconds
-CLOSE_TIMEOUT = 1.0  # seconds at the end, for what is on its way to the store
+CLOSE_TIMEOUT = 1.0  # seconds in which `close` waits for tasks to be released and writes to be answered
 CLOSE_CHECK_INTERVAL = 0.02  # seconds
-LISTED_IN_LOG = 16  # tasks, of one line
+TASKS_IN_LOG_MAX = 16  # tasks named in each list of a load log line
 
 
 class ElectionLoad(TypedDict):
-    """What the node's line on its load says of elections."""
+    """The fields on elections in the node's load log line."""
 
-    states: dict[str, int]  # tasks by the state of their ownership
+    states: dict[str, int]  # number of tasks by ownership state
     holding: list[str]  # tasks that this node leads
-    lease: int  # 0: none
-    lease_left: float | None  # seconds
-    acted: dict[str, int]  # actions by task, of the work that runs
-    asked_store: int  # requests to the store since the start
+    lease: int  # lease id, 0 without a lease
+    lease_left: float | None  # seconds for which the lease is safe, None without a lease
+    acted: dict[str, int]  # actions started by each running task, in its current term
+    asked_store: int  # requests to the store since the node's start
     asked_by_kind: dict[str, int]
-    events: dict[str, int]  # inputs of the elector by name, since the line before
+    events: dict[str, int]  # inputs of the elector by name since the previous line
 
 
-FailureInput = Callable[[ConsensusError], messages.Input | None]
+# Returns the input that reports a failed request to the elector, or None if the elector need not know.
+FailureInputFactory = Callable[[ConsensusError], messages.Input | None]
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionEnvironment:
-    """What an elector's actor has around it; `make_task` makes a task's work anew for each leadership."""
+    """The node, the store and the other dependencies of an `ElectionActor`."""
 
     node: str
     address: str  # at which peers reach the node
     store: ConsensusStore
-    make_task: Callable[[str], LeaderTask]
-    health: Callable[[], float]
+    make_task: Callable[[str], LeaderTask]  # called with the task's name at the start of each term
+    health: Callable[[], float]  # from 0 to 1
     seed: int
     log: Log
-    expected_nodes: int = 1  # at least: a fleet that starts is not a small one
+    expected_nodes: int = 1  # minimum fleet size to assume: a starting fleet lists only few of its nodes
 
 
 class ElectionActor:
-    """One node's part in the election of leaders; `tasks` gives each singleton task its zone."""
+    """Takes part in leader elections for one node; `tasks` maps each singleton task to its zone."""
 
     def __init__(
         self, settings: ElectorSettings, tasks: Mapping[str, str], environment: ElectionEnvironment
@@ -83,92 +85,92 @@
             lambda event: self.tell(event),
             self.log,
         )
-        self.requests: set[asyncio.Task[None]] = set()
-        self.watch: asyncio.Task[None] | None = None
+        self.request_tasks: set[asyncio.Task[None]] = set()
+        self.watch_task: asyncio.Task[None] | None = None
         self.wake_timer: asyncio.TimerHandle | None = None
         self.health_timer: asyncio.TimerHandle | None = None
         self.nodes: list[CandidateNode] = []
-        self.ranking: asyncio.Task[None] | None = None
+        self.ranking_task: asyncio.Task[None] | None = None
         self.next_ranking_at = 0.0
         self.rankings_changed: Callable[[dict[str, CandidateRanking]], None] = lambda _: None
-        self.inputs_by_name: Counter[str] = Counter()  # since the last line of the log
+        self.inputs_by_name: Counter[str] = Counter()  # since the last load log line
         self.requests_by_kind: Counter[str] = Counter()
         self.closed = False
 
-    # From start to end
+    # Lifecycle
 
     def start(self) -> None:
-        """Take part in elections, as soon as the nodes are known."""
+        """Start checking the node's health; elections begin once the candidates are ranked."""
         self._check_health()
 
     def nodes_changed(self, nodes: Sequence[CandidateNode]) -> None:
-        """Rank anew: the nodes that may lead are these."""
-        nodes_in_order = sorted(nodes)
-        if nodes_in_order != self.nodes:
-            self.nodes = nodes_in_order
-            self._rank_soon()
+        """Set the nodes that may lead, and rank them again if they have changed."""
+        sorted_nodes = sorted(nodes)
+        if sorted_nodes != self.nodes:
+            self.nodes = sorted_nodes
+            self._schedule_ranking()
 
     def reconfigure(self, settings: ElectorSettings, tasks: Mapping[str, str]) -> None:
-        """Go by a new operator's file."""
+        """Apply a reloaded operator configuration."""
         self.elector.reconfigure(settings)
         if dict(tasks) != self.tasks:
             self.tasks = dict(tasks)
-            self._rank_soon()
+            self._schedule_ranking()
 
     def store_replaced(self) -> None:
-        """Begin anew with another store: what the one before answers yet says nothing."""
-        for request in list(self.requests):
-            request.cancel()
+        """Start over with a different store; answers still due from the previous one are ignored."""
+        for request_task in list(self.request_tasks):
+            request_task.cancel()
         self.tell(messages.StoreReplaced())
 
     def drain(self) -> None:
-        """Hand all tasks over: the node shuts down gracefully."""
+        """Hand over all tasks, for a graceful shutdown."""
         self.tell(messages.DrainStarted())
 
     async def close(self) -> None:
-        """Stop for good, after what is on its way to the store; close the store."""
+        """Wait up to `CLOSE_TIMEOUT` for releases and pending writes, then stop and close the store."""
         deadline = time.monotonic() + CLOSE_TIMEOUT
-        while time.monotonic() < deadline and self.elector.has_unfinished_business:
+        while time.monotonic() < deadline and self.elector.has_unfinished_work:
             await asyncio.sleep(CLOSE_CHECK_INTERVAL)
         self.closed = True
         for timer in (self.wake_timer, self.health_timer):
             if timer:
                 timer.cancel()
         self.task_runner.revoke_all()
-        others = (task for task in (self.watch, self.ranking) if task)
-        tasks = [*self.requests, *self.task_runner.asyncio_tasks(), *others]
-        for task in tasks:
+        optional_tasks = (task for task in (self.watch_task, self.ranking_task) if task)
+        asyncio_tasks = [*self.request_tasks, *self.task_runner.asyncio_tasks(), *optional_tasks]
+        for task in asyncio_tasks:
             task.cancel()
-        await asyncio.gather(*tasks, return_exceptions=True)
+        await asyncio.gather(*asyncio_tasks, return_exceptions=True)
         await self.store.close()
 
     # Ranking of candidates
 
-    def _rank_soon(self) -> None:
-        if self.ranking is None and not self.closed:
-            self.ranking = asyncio.ensure_future(self._rank())
+    def _schedule_ranking(self) -> None:
+        if self.ranking_task is None and not self.closed:
+            self.ranking_task = asyncio.ensure_future(self._rank())
 
     async def _rank(self) -> None:
-        """Rank candidates in a thread: it takes a moment where tasks and nodes are many."""
+        """Rank the candidates in a thread, because many tasks and nodes would block the event loop."""
         await asyncio.sleep(max(0.0, self.next_ranking_at - time.monotonic()))
         tasks, nodes = dict(self.tasks), list(self.nodes)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             rankings = await asyncio.to_thread(rank_candidates, tasks, nodes)
         finally:
-            self.ranking = None
-        took = time.monotonic() - began
-        self.next_ranking_at = time.monotonic() + max(RANKING_INTERVAL, RANKING_REST * took)
+            self.ranking_task = None
+        duration = time.monotonic() - started_at
+        self.next_ranking_at = time.monotonic() + max(RANKING_INTERVAL_MIN, RANKING_PAUSE_FACTOR * duration)
         self.rankings_changed(rankings)
         fleet_size = max(len(nodes), self.environment.expected_nodes)
         self.tell(messages.CandidatesRanked(rankings, fleet_size))
         if (tasks, nodes) != (self.tasks, self.nodes):
-            self._rank_soon()
+            self._schedule_ranking()
 
     # Inputs and effects
 
     def tell(self, event: messages.Input) -> None:
-        """Give the elector an input and carry out what follows."""
+        """Pass an input to the elector and carry out the resulting effects."""
         if not self.closed:
             self.inputs_by_name[event.log_name] += 1
             self._carry_out_all(self.elector.on(boottime(), event))
@@ -182,19 +184,19 @@
         match effect:
             case messages.WatchRecords():
                 self._cancel_watch()
-                self.watch = asyncio.ensure_future(self._watch(effect))
+                self.watch_task = asyncio.ensure_future(self._watch_records(effect))
             case messages.CancelWatch():
                 self._cancel_watch()
             case messages.StateChanged():
-                self._log_state(effect)
+                self._log_state_change(effect)
             case messages.RequestLease() | messages.RenewLease() | messages.RevokeLease():
-                self._request_for_lease(effect)
+                self._send_lease_request(effect)
             case messages.ReadRecords() | messages.ListHolders() | messages.WriteRecord():
-                self._request_for_records(effect)
+                self._send_records_request(effect)
             case _:
                 self.task_runner.carry_out(effect)
 
-    def _log_state(self, change: messages.StateChanged) -> None:
+    def _log_state_change(self, change: messages.StateChanged) -> None:
         time_to_act = self.elector.time_to_act(boottime(), change.task, change.fencing_token)
         self.log.event(
             "duty",
@@ -207,31 +209,33 @@
 
     # Requests to the store
 
-    def _request_for_lease(
+    def _send_lease_request(
         self, effect: messages.RequestLease | messages.RenewLease | messages.RevokeLease
     ) -> None:
         match effect:
             case messages.RequestLease(ttl=ttl):
                 self._send(
                     "grant",
-                    self._request_lease(ttl),
+                    self._grant_lease(ttl),
                     lambda error: messages.LeaseRequestFailed(error.retry_after),
                 )
             case messages.RenewLease(lease_id=lease_id):
                 self._send(
                     "beat",
-                    self._renew(lease_id),
+                    self._renew_lease(lease_id),
                     lambda error: messages.LeaseRenewalFailed(lease_id, error.retry_after),
                 )
             case messages.RevokeLease(lease_id=lease_id):
                 self._send("revoke", self.store.revoke_lease(lease_id), lambda _: None)
 
-    def _request_for_records(
+    def _send_records_request(
         self, effect: messages.ReadRecords | messages.ListHolders | messages.WriteRecord
     ) -> None:
         match effect:
             case messages.ReadRecords(keys=keys):
-                self._send("read", self._read(keys), lambda error: messages.ReadFailed(error.retry_after))
+                self._send(
+                    "read", self._read_records(keys), lambda error: messages.ReadFailed(error.retry_after)
+                )
             case messages.ListHolders():
                 self._send(
                     "sweep", self._list_holders(), lambda error: messages.ListingFailed(error.retry_after)
@@ -239,51 +243,53 @@
             case messages.WriteRecord(task=task, write_id=write_id):
                 self._send(
                     "change",
-                    self._write(effect),
+                    self._write_record(effect),
                     lambda error: messages.WriteFailed(
                         task, write_id, error.retry_after, isinstance(error, NotAppliedError)
                     ),
                 )
 
-    def _send(self, kind: str, request: Awaitable[messages.Input | None], failed: FailureInput) -> None:
-        """Send a request; tell the elector its answer, or the input that a failure makes."""
+    def _send(
+        self, kind: str, request: Awaitable[messages.Input | None], failure_input: FailureInputFactory
+    ) -> None:
+        """Send a request in the background and pass its answer or its failure to the elector."""
         self.requests_by_kind[kind] += 1
-        task = asyncio.ensure_future(self._answered(kind, request, failed))
-        self.requests.add(task)
-        task.add_done_callback(self.requests.discard)
+        task = asyncio.ensure_future(self._await_answer(kind, request, failure_input))
+        self.request_tasks.add(task)
+        task.add_done_callback(self.request_tasks.discard)
 
-    async def _answered(
-        self, kind: str, request: Awaitable[messages.Input | None], failed: FailureInput
+    async def _await_answer(
+        self, kind: str, request: Awaitable[messages.Input | None], failure_input: FailureInputFactory
     ) -> None:
         try:
             event = await request
         except ConsensusError as error:
             self._log_failure(kind, error)
-            event = failed(error)
+            event = failure_input(error)
         if event:
             self.tell(event)
 
     def _log_failure(self, kind: str, error: ConsensusError) -> None:
         self.log.event("agreement", asked=kind, error=f"{type(error).__name__}: {error}")
 
-    async def _request_lease(self, ttl: float) -> messages.Input:
+    async def _grant_lease(self, ttl: float) -> messages.Input:
         granted = await self.store.grant_lease(ttl)
         return messages.LeaseGranted(granted.lease_id, granted.ttl)
 
-    async def _renew(self, lease_id: int) -> messages.Input:
+    async def _renew_lease(self, lease_id: int) -> messages.Input:
         return messages.renewal_answer(lease_id, await self.store.keep_alive(lease_id))
 
-    async def _read(self, keys: Sequence[str]) -> messages.Input:
+    async def _read_records(self, keys: Sequence[str]) -> messages.Input:
         return messages.RecordsRead(await self.store.read(keys))
 
     async def _list_holders(self) -> messages.Input:
         return messages.HoldersListed(await self.store.list_prefix(HOLDER_PREFIX))
 
-    async def _write(self, effect: messages.WriteRecord) -> messages.Input:
+    async def _write_record(self, effect: messages.WriteRecord) -> messages.Input:
         result = await self.store.compare_and_set(effect.change)
         return messages.WriteAnswered(effect.task, result, effect.write_id)
 
-    async def _watch(self, effect: messages.WatchRecords) -> None:
+    async def _watch_records(self, effect: messages.WatchRecords) -> None:
         retry_after: float | None = None
         try:
             async for snapshot in self.store.watch(effect.keys, effect.after):
@@ -291,13 +297,13 @@
         except ConsensusError as error:
             retry_after = error.retry_after
             self._log_failure("watch", error)
-        self.watch = None
+        self.watch_task = None
         self.tell(messages.WatchEnded(retry_after))
 
     def _cancel_watch(self) -> None:
-        if self.watch:
-            self.watch.cancel()
-            self.watch = None
+        if self.watch_task:
+            self.watch_task.cancel()
+            self.watch_task = None
 
     # Timers
 
@@ -314,22 +320,22 @@
         self._carry_out_all(self.elector.wake(boottime()))
 
     def _check_health(self) -> None:
-        healthy = self.environment.health() >= HEALTH_MIN
+        healthy = self.environment.health() >= LEADER_HEALTH_MIN
         if healthy != self.elector.healthy:
             self.tell(messages.HealthChanged(healthy))
         loop = asyncio.get_running_loop()
         self.health_timer = loop.call_later(HEALTH_CHECK_INTERVAL, self._check_health)
 
     def load_now(self) -> ElectionLoad:
-        """Return what the node's line on its load says of elections."""
+        """Return the fields on elections for the load log line, and reset the counts of inputs."""
         inputs, self.inputs_by_name = self.inputs_by_name, Counter()
         states = Counter(task.state.value for task in self.elector.tasks.values())
         lease_id = self.elector.lease_id
         lease_left = None if lease_id is None else round(self.elector.safe_until() - boottime(), 2)
-        leases = list(self.task_runner.leases.items())[:LISTED_IN_LOG]
+        leases = list(self.task_runner.leases.items())[:TASKS_IN_LOG_MAX]
         return {
             "states": dict(states),
-            "holding": self.elector.led_tasks()[:LISTED_IN_LOG],
+            "holding": self.elector.led_tasks()[:TASKS_IN_LOG_MAX],
             "lease": lease_id or 0,
             "lease_left": lease_left,
             "acted": {name: lease.actions_started for name, lease in leases},
--- a/shelfhaven/election/candidate_ranking.py
+++ b/shelfhaven/election/candidate_ranking.py
@@ -1,11 +1,12 @@
-"""Which nodes are candidates for which task, in order: the same answer at every node with the same list.
+"""Ranks the candidates of each singleton task; nodes that have the same list get the same ranking.
 
-Owns the order of nodes for a task and the bound on how many tasks one node gets. Safety never depends on it:
-nodes with different lists only try to acquire tasks that they need not.
+Safety never depends on the ranking: if nodes have different lists, they only make needless attempts to
+acquire tasks.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998): a node's loss moves its own tasks and no others. Bounded
-loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads", 2016): no node gets more
-than `MAX_LOAD_FACTOR` times its even share; the surplus goes to the next node in the task's order.
+Rendezvous hashing (Thaler and Ravishankar, 1998) orders the nodes for each task, so that the loss of a node
+moves only the tasks of this node. Bounded loads (Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with
+Bounded Loads", 2016) limit each node to `MAX_LOAD_FACTOR` times its even share of the tasks; a task beyond
+this limit goes to the next node in its order.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 from shelfhaven.routing.hash_spread import spread
 
-MAX_LOAD_FACTOR = 1.25  # times the even share that one node gets at most
-CANDIDATES = 5  # of a task: more never try to acquire it at a time
+MAX_LOAD_FACTOR = 1.25  # upper bound of a node's load, relative to its even share of the tasks
+CANDIDATES_MAX = 5  # per task; bounds the nodes that try to acquire it at the same time
 
 
 class CandidateNode(NamedTuple):
-    """A node that may lead tasks of its zone, and tasks of no zone."""
+    """A node that may lead the tasks of its zone and those without a zone."""
 
     name: str
     zone: str = ""
@@ -32,33 +33,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidateRanking:
-    """The candidates for a task, in order; the first is to be its leader."""
+    """The candidates of a task, the preferred leader first."""
 
     order: tuple[str, ...]
 
     def rank(self, node: str) -> int | None:
-        """Return a node's rank from 0, None if it is no candidate."""
+        """Return the rank of a node, counted from 0, or None if it is not a candidate."""
         return self.order.index(node) if node in self.order else None
 
 
 NO_CANDIDATES = CandidateRanking(())
 
 
-def _candidates(task: str, nodes: Sequence[str]) -> list[str]:
-    return heapq.nlargest(CANDIDATES, nodes, key=lambda node: (spread(node, f"duty/{task}"), node))
+def _order_candidates(task: str, nodes: Sequence[str]) -> list[str]:
+    return heapq.nlargest(CANDIDATES_MAX, nodes, key=lambda node: (spread(node, f"duty/{task}"), node))
 
 
 def rank_candidates(tasks: Mapping[str, str], nodes: Iterable[CandidateNode]) -> dict[str, CandidateRanking]:
-    """Rank the candidates of all tasks; `tasks` gives each its zone ("" for any).
+    """Rank the candidates of all tasks; `tasks` maps each task to its zone ("" for any zone).
 
-    Tasks are assigned in an order of their own hash, so that a new one moves few others.
+    Tasks are assigned in the order of their hashes, so that an additional task moves only a few others.
     """
     nodes_by_zone: dict[str, list[str]] = {"": []}
     for name, zone in sorted(nodes):
         nodes_by_zone[""].append(name)
         if zone:
             nodes_by_zone.setdefault(zone, []).append(name)
-    loads: dict[str, Counter[str]] = {}
+    loads_by_zone: dict[str, Counter[str]] = {}
     tasks_by_zone = Counter(tasks.values())
     rankings: dict[str, CandidateRanking] = {}
     for task in sorted(tasks, key=lambda task: (spread(task, "duties"), task)):
@@ -68,9 +69,9 @@
             rankings[task] = NO_CANDIDATES
             continue
         max_load = math.ceil(MAX_LOAD_FACTOR * tasks_by_zone[zone] / len(eligible))
-        load = loads.setdefault(zone, Counter())
-        order = _candidates(task, eligible)
-        first = next((node for node in order if load[node] < max_load), order[0])
-        load[first] += 1
+        loads = loads_by_zone.setdefault(zone, Counter())
+        order = _order_candidates(task, eligible)
+        first = next((node for node in order if loads[node] < max_load), order[0])
+        loads[first] += 1
         rankings[task] = CandidateRanking((first, *(node for node in order if node != first)))
     return rankings
--- a/shelfhaven/election/elector.py
+++ b/shelfhaven/election/elector.py
@@ -1,20 +1,21 @@
-"""Elects leaders of singleton tasks, one node's part: a pure state machine, inputs in, effects out.
+"""Elects the leaders of singleton tasks: one node's state machine, which turns inputs into effects.
 
-Owns the components and the order in which they act. It must never do I/O or read a clock: it is told inputs
-with the time of `membership/clock.py`, and returns what is to be done.
+The elector does no I/O and reads no clock: its methods take the time of `membership/clock.py` and return the
+effects to carry out. This module composes its components and defines the order in which they act.
 
-Safety rests on the following, each tried by a mistake planted in `lab/lease_model.py`:
+Safety depends on the following rules. `lab/lease_model.py` contains deliberate mistakes in them, which its
+search must find.
 
-- A lease counts from *before* it was requested, less a fraction for clocks that differ in rate, less a margin
-  (`lease_upkeep.py`).
-- A task is acquired by one write that compares both of its records, under a fencing token above the highest.
-  The low part of a token is drawn: where a store forgets, two nodes that know the same highest token choose
-  different ones (`candidacy.py`).
-- What ends a term of leadership names the revision of that term: a leader that was replaced can take nothing
-  from the next (`hand_over.py`).
-- After uncertainty nothing is done before the store has been read anew (`store_updates.py`).
+- The duration of a lease counts from *before* its request was sent, minus a fraction for clocks that run at
+  different rates, minus a margin (`lease_upkeep.py`).
+- A single write, which compares both records of a task, acquires it with a fencing token above the highest
+  known one. The low part of the token is random, so that two nodes that know the same highest token choose
+  different ones if the store has lost its data (`candidacy.py`).
+- The write that ends a term of leadership compares the revision of that term, so that a replaced leader
+  cannot take the task from its successor (`hand_over.py`).
+- After uncertainty, a task may act only when its records have been read again (`store_updates.py`).
 
-The target of the work checks the fencing token alone; all else here only makes rejections rare.
+The target of a task checks only the fencing token; the other rules just make rejections rare.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 
 class Elector:
-    """All singleton tasks of one node."""
+    """Elects the leaders of all singleton tasks, on behalf of one node."""
 
     def __init__(
         self, settings: ElectorSettings, node: str, now: float, random: Random, address: str = ""
@@ -75,7 +76,7 @@
         )
         self.candidates_known = False
 
-    # Questions
+    # Queries and settings
 
     @property
     def tasks(self) -> dict[str, TaskOwnership]:
@@ -83,34 +84,34 @@
         return self.state.tasks
 
     @property
-    def has_unfinished_business(self) -> bool:
-        """Whether this node leads a task, or has a write on its way."""
+    def has_unfinished_work(self) -> bool:
+        """Whether this node owns a task or has a pending write."""
         return any(task.is_owned or task.pending_write is not None for task in self.tasks.values())
 
     @property
     def healthy(self) -> bool:
-        """Whether the node was healthy enough to lead when it last said."""
+        """Whether the node was healthy enough to lead according to the last `HealthChanged`."""
         return self.state.healthy
 
     @property
     def lease_id(self) -> int | None:
-        """The node's lease, None without one."""
+        """The id of the node's lease, or None without a lease."""
         return self.lease_upkeep.lease.id
 
     def reconfigure(self, settings: ElectorSettings) -> None:
-        """Go by other settings from now on."""
+        """Replace the settings."""
         self.state.settings = settings
 
     def safe_until(self) -> float:
-        """Return until when the node may act on what its lease holds, by its own clock."""
+        """Return the time, by this node's clock, until which its lease certainly lasts."""
         return self.lease_upkeep.safe_until()
 
     def time_to_act(self, now: float, name: str, fencing_token: int) -> float:
-        """Return the seconds for which the node surely leads a task under this token; 0 if it does not."""
+        """Return the seconds for which the node is sure to lead a task with this token; 0 if it is not."""
         task = self.tasks.get(name)
         if task is None or task.fencing_token != fencing_token:
             return 0.0
-        # once its work has ended the task may be released at any moment
+        # After the work has ended, the task may be released at any moment.
         finishing = task.state is OwnershipState.HANDING_OVER and task.running
         if task.state is not OwnershipState.LEADING and not finishing:
             return 0.0
@@ -123,7 +124,7 @@
     # Inputs
 
     def on(self, now: float, event: Input) -> list[Effect]:
-        """Take one input; return what is to be done, in order."""
+        """Process an input; return the effects to carry out, in order."""
         match event:
             case (
                 LeaseGranted()
@@ -132,11 +133,11 @@
                 | LeaseExpired()
                 | LeaseRenewalFailed()
             ):
-                self._on_lease(now, event)
+                self._on_lease_event(now, event)
             case CheckpointReached() | FencingTokenRejected() | TaskEnded():
-                self._on_work(now, event)
+                self._on_task_event(now, event)
             case CandidatesRanked():
-                self._on_candidates(now, event)
+                self._on_candidates_ranked(now, event)
             case HealthChanged():
                 self.state.healthy = event.healthy
             case DrainStarted():
@@ -144,17 +145,17 @@
             case StoreReplaced():
                 self._on_store_replaced(now)
             case _:
-                self._on_store(now, event)
-        self._do_what_is_due(now)
+                self._on_store_event(now, event)
+        self._take_due_steps(now)
         return self.state.take_effects()
 
     def wake(self, now: float) -> list[Effect]:
-        """Do what is due; return what is to be done, in order."""
-        self._do_what_is_due(now)
+        """Take the steps that are due; return the effects to carry out, in order."""
+        self._take_due_steps(now)
         return self.state.take_effects()
 
     def next_wake(self) -> float:
-        """Return when something is due, at the earliest."""
+        """Return when the next step is due; infinity if none is."""
         active = self.state.active_tasks()
         settings = self.state.settings
         leading = [task for task in active if task.state is OwnershipState.LEADING]
@@ -169,7 +170,7 @@
         due.append(max(self.state.store_paused_until, store_due))
         return min(due)
 
-    def _on_lease(
+    def _on_lease_event(
         self,
         now: float,
         event: LeaseGranted | LeaseRequestFailed | LeaseRenewed | LeaseExpired | LeaseRenewalFailed,
@@ -192,7 +193,7 @@
             case LeaseRenewalFailed():
                 self.lease_upkeep.renewal_failed(now, event)
 
-    def _on_work(self, now: float, event: CheckpointReached | FencingTokenRejected | TaskEnded) -> None:
+    def _on_task_event(self, now: float, event: CheckpointReached | FencingTokenRejected | TaskEnded) -> None:
         match event:
             case CheckpointReached():
                 self.ownership.checkpoint_reached(event)
@@ -201,7 +202,7 @@
             case TaskEnded():
                 self.hand_over.task_ended(now, event)
 
-    def _on_store(self, now: float, event: Input) -> None:
+    def _on_store_event(self, now: float, event: Input) -> None:
         match event:
             case RecordsRead():
                 self.store_scan.read_answered()
@@ -221,24 +222,24 @@
             case ListingFailed():
                 self.store_scan.listing_failed(now, event.retry_after)
 
-    def _on_candidates(self, now: float, event: CandidatesRanked) -> None:
+    def _on_candidates_ranked(self, now: float, event: CandidatesRanked) -> None:
         state = self.state
         state.fleet_size = max(1, event.fleet_size)
         for name, ranking in event.rankings.items():
             task = state.tasks.setdefault(name, TaskOwnership(name))
             task.ranking = ranking
             if task.is_candidate(state.node) and holder_key(name) not in self.store_scan.watched_keys:
-                state.reread([name])  # what is known of it may be old
+                state.reread([name])  # its records may be outdated
         for name in [name for name in state.tasks if name not in event.rankings]:
-            self._remove_from_file(state.tasks[name])
+            self._remove_task(state.tasks[name])
         state.invalidate_active_tasks()
         if not self.candidates_known:
             self.candidates_known = True
             state.spread_start(now)
         self.store_scan.schedule_first_listing(now)
 
-    def _remove_from_file(self, task: TaskOwnership) -> None:
-        """Forget a task that is no longer in the operator's file; one that is led is handed over first."""
+    def _remove_task(self, task: TaskOwnership) -> None:
+        """Remove a task that is no longer configured; a task that this node owns is handed over first."""
         task.ranking = NO_CANDIDATES
         if task.state in (OwnershipState.NOT_LEADING, OwnershipState.RELINQUISHED):
             del self.state.tasks[task.name]
@@ -248,8 +249,8 @@
         self.ownership.store_replaced(now)
         self.state.store_paused_until = now
 
-    def _do_what_is_due(self, now: float) -> None:
-        self.candidacy.waits_for_lease = False
+    def _take_due_steps(self, now: float) -> None:
+        self.candidacy.waiting_for_lease = False
         self.ownership.check_lease(now)
         self.lease_upkeep.renew_or_revoke(now)
         for task in list(self.state.active_tasks()):
--- a/shelfhaven/election/leader_tasks.py
+++ b/shelfhaven/election/leader_tasks.py
@@ -1,8 +1,8 @@
-"""What all work of leaders has in common: its interface, what it may use of its node, and retries.
+"""The interface of singleton tasks, the services of the node that they may use, and back-off after failures.
 
-Work acts on targets through its `LeaderLease` alone, reports checkpoints of how far it is, and ends when it
-is told to finish. It must never remember between terms of leadership what is not in the checkpoint: another
-node may go on.
+A task acts on its target only through its `LeaderLease`, reports checkpoints of its progress, and returns
+when it is told to finish. It keeps no state between terms of leadership except in the checkpoint, because a
+different node may continue the work.
 """
 
 from __future__ import annotations
@@ -13,54 +13,54 @@
 from shelfhaven.election.lease import LeaderLease
 from shelfhaven.errors import ShelfhavenError
 
-FAILURES_MAX = 8  # in a row, after which the work is given to another node
-SLOWDOWN_MAX = 8.0  # times the usual interval between pieces, while they fail
+CONSECUTIVE_FAILURES_MAX = 8  # then the task is handed over to another node
+BACKOFF_FACTOR_MAX = 8.0  # upper bound of the factor by which failures lengthen the interval
 
 
 class TaskFailedError(ShelfhavenError):
-    """The work cannot go on here; another node may fare better."""
+    """The task cannot continue on this node, but may succeed on another one."""
 
 
 class LeaderTask(ABC):
-    """The work of one task."""
+    """The work of one singleton task during one term of leadership."""
 
     @abstractmethod
     async def run(self, lease: LeaderLease) -> None:
         """Work until told to finish. Raises TaskFailedError and LeaseLostError."""
 
-    def close(self) -> None:  # noqa: B027 - most have nothing open
-        """Close what is open."""
+    def close(self) -> None:  # noqa: B027 - optional: most tasks hold no resources
+        """Release the resources of the task."""
 
 
 class NodeServices(Protocol):
-    """What work may use of the node around it."""
+    """Services of the node that tasks may use."""
 
     def addresses(self) -> list[str]:
         """Return the addresses of the other nodes of the fleet."""
 
     async def post(self, peer: str, path: str, body: bytes) -> bytes | None:
-        """Return a peer's answer, None if it gave none."""
+        """Send a request to a peer; return its answer, or None if there is none."""
 
     def watch_list(self, enabled: bool) -> None:
-        """Watch the list service for the zone, or leave that to others."""
+        """Start or stop watching the list service for the zone."""
 
 
 class FailureBackoff:
-    """Failures in a row: a longer interval for each, and an end."""
+    """Counts consecutive failures, lengthens the interval after each, and gives up after too many."""
 
     def __init__(self) -> None:
         self.failures = 0
 
-    def interval(self, usual: float) -> float:
-        """Return the seconds until the next piece."""
-        return usual * min(SLOWDOWN_MAX, 2.0**self.failures)
+    def interval(self, base: float) -> float:
+        """Return the seconds until the next attempt; `base` is the interval without failures."""
+        return base * min(BACKOFF_FACTOR_MAX, 2.0**self.failures)
 
     def succeeded(self) -> None:
-        """Count from zero again."""
+        """Reset the count."""
         self.failures = 0
 
     def failed(self, error: Exception) -> None:
-        """Count a failure. Raises TaskFailedError after too many."""
+        """Count a failure. Raises TaskFailedError after `CONSECUTIVE_FAILURES_MAX` of them."""
         self.failures += 1
-        if self.failures >= FAILURES_MAX:
-            raise TaskFailedError(f"{self.failures} failures in a row, the last: {error}")
+        if self.failures >= CONSECUTIVE_FAILURES_MAX:
+            raise TaskFailedError(f"{self.failures} consecutive failures; last error: {error}")
--- a/shelfhaven/election/watch_list_task.py
+++ b/shelfhaven/election/watch_list_task.py
@@ -1,6 +1,6 @@
-"""Watches the list service for a zone, so that the zone's other nodes need not poll it.
+"""The singleton task that watches the list service for a zone, so that the other nodes need not poll it.
 
-Two nodes that do it at once do no harm: the task has no target.
+The task has no target and therefore no fencing: two nodes that watch the list at the same time do no harm.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from shelfhaven.election.leader_tasks import LeaderTask, NodeServices
 from shelfhaven.election.lease import LeaderLease, LeaseUncertainError, Permit
 
-CHECK_INTERVAL = 5.0  # seconds between checks that the list is watched
+CHECK_INTERVAL = 5.0  # seconds between checks that this node watches the list
 
 
 class WatchListTask(LeaderTask):
-    """Watches the list while the node leads."""
+    """Watches the list service while this node is the leader."""
 
     def __init__(self, services: NodeServices) -> None:
         self.services = services
@@ -21,7 +21,7 @@
         """Watch the list until told to finish."""
 
         async def watch(_: Permit) -> None:
-            """Begin to watch the list, or go on watching it."""
+            """Start watching the list, or continue to."""
             self.services.watch_list(True)
 
         try:
