--- a/tests/election/test_actor.py
+++ b/tests/election/test_actor.py
@@ -1,4 +1,4 @@
-"""The actor: work starts, is handed over and ends with leadership."""
+"""The election actor and the task runner: tasks start, are handed over and end with leadership."""
 
 from __future__ import annotations
 
@@ -23,46 +23,42 @@
     TaskKind,
 )
 from shelfhaven.program.singleton_tasks import SingletonTasksComponent
-from tests.election.helpers import (
-    LOG,
-    run_bounded,
-    soon,
-)
+from tests.election.helpers import LOG, run_bounded, soon
 
 
-def test_the_actor_runs_work_hands_it_over_and_ends() -> None:
+def test_a_draining_node_hands_its_task_over_and_the_next_leader_continues_it() -> None:
     async def check() -> None:
-        ran: list[tuple[str, int, str]] = []
+        runs: list[tuple[str, int, str]] = []  # task, fencing token and first checkpoint
 
         class Counting(LeaderTask):
             async def run(self, lease: LeaderLease) -> None:
-                ran.append((lease.task, lease.fencing_token, lease.checkpoint))
+                runs.append((lease.task, lease.fencing_token, lease.checkpoint))
                 count = int(lease.checkpoint or 0)
                 while await lease.continue_after(0.01):
                     count += 1
                     lease.report_checkpoint(str(count))
 
-        engine = InProcessStore()
+        store = InProcessStore()
         settings = ElectorSettings(lease_duration=2.0, safety_margin=0.2, candidate_delay=0.05)
         actors = [
             ElectionActor(
                 settings,
                 {"d": ""},
-                ElectionEnvironment(name, "", engine, lambda _: Counting(), lambda: 1.0, 0, LOG),
+                ElectionEnvironment(name, "", store, lambda _: Counting(), lambda: 1.0, 0, LOG),
             )
             for name in ("a", "b")
         ]
         for actor in actors:
             actor.nodes_changed([CandidateNode("a"), CandidateNode("b")])
             actor.start()
-        await soon(lambda: ran)
+        await soon(lambda: runs)
         first = next(actor for actor in actors if actor.elector.led_tasks())
         second = actors[1 - actors.index(first)]
         await asyncio.sleep(0.6)
         first.drain()
-        await soon(lambda: len(ran) == 2)
-        assert 0 < ran[0][1] < ran[1][1]
-        assert int(ran[1][2]) > 5, "the second goes on where the first stood"
+        await soon(lambda: len(runs) == 2)
+        assert 0 < runs[0][1] < runs[1][1]
+        assert int(runs[1][2]) > 5, "the second leader starts from the first one's checkpoint"
         assert second.load_now()["holding"] == ["d"]
         await first.close()
         await second.close()
@@ -70,11 +66,11 @@
     run_bounded(check)
 
 
-def test_work_that_was_stopped_says_nothing_of_the_work_started_after_it(
+def test_the_end_of_a_stopped_run_is_not_reported_as_that_of_the_next_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def check() -> None:
-        class Slow(LeaderTask):
+        class SlowToStop(LeaderTask):
             async def run(self, lease: LeaderLease) -> None:
                 async def action(_: Permit) -> None:
                     await lease.finishing.wait()
@@ -83,34 +79,36 @@
                 await lease.act(action)
 
         settings = ElectorSettings()
-        environment = ElectionEnvironment("a", "", InProcessStore(), lambda _: Slow(), lambda: 1.0, 0, LOG)
+        environment = ElectionEnvironment(
+            "a", "", InProcessStore(), lambda _: SlowToStop(), lambda: 1.0, 0, LOG
+        )
         actor = ElectionActor(settings, {}, environment)
-        told: list[messages.Input] = []
-        monkeypatch.setattr(actor, "tell", told.append)
+        inputs: list[messages.Input] = []
+        monkeypatch.setattr(actor, "tell", inputs.append)
         monkeypatch.setattr(actor.elector, "time_to_act", lambda *_: 10.0)
         actor.task_runner.carry_out(messages.StartTask("d", 5, ""))
         await asyncio.sleep(0.01)
         actor.task_runner.carry_out(messages.StopTask("d", 5))
-        # the store names this node as leader after all, under the same token
+        # The store turns out to name this node as the leader, with the same token.
         actor.task_runner.carry_out(messages.StartTask("d", 5, ""))
         await asyncio.sleep(0.05)
-        assert told == []
+        assert inputs == []
         actor.task_runner.carry_out(messages.FinishTask("d", 5, 1.0))
-        await soon(lambda: told)
-        assert told == [messages.TaskEnded("d", 5, False)]
+        await soon(lambda: inputs)
+        assert inputs == [messages.TaskEnded("d", 5, False)]
         await actor.close()
 
     run_bounded(check)
 
 
-def test_rankings_of_the_file_before_name_no_list_watchers_of_the_new_one() -> None:
-    part = SingletonTasksComponent.__new__(SingletonTasksComponent)
-    duties = {name: TaskConfig(name, TaskKind.WATCH_LIST, name, 1.0) for name in ("a", "b", "c")}
-    part.config = SingletonTasksConfig(StoreConfig(StoreKind.ALONE, 1.0), ElectorSettings(), duties)
+def test_rankings_of_tasks_that_are_no_longer_configured_yield_no_zone_watchers() -> None:
+    component = SingletonTasksComponent.__new__(SingletonTasksComponent)
+    tasks = {name: TaskConfig(name, TaskKind.WATCH_LIST, name, 1.0) for name in ("a", "b", "c")}
+    component.config = SingletonTasksConfig(StoreConfig(StoreKind.ALONE, 1.0), ElectorSettings(), tasks)
     fleet = SimpleNamespace(zone_watchers=set())
     member = SimpleNamespace(fleet=fleet)
-    part.membership = SimpleNamespace(actor=SimpleNamespace(member=member))  # type: ignore[assignment]
-    part._prefer_list_watchers(
+    component.membership = SimpleNamespace(actor=SimpleNamespace(member=member))  # type: ignore[assignment]
+    component._prefer_list_watchers(
         {"a": CandidateRanking(("n1", "n2")), "b": CandidateRanking(()), "gone": CandidateRanking(("n3",))}
     )
     assert fleet.zone_watchers == {"nodes/a/n1"}
@@ -125,7 +123,7 @@
         (None, False, None),
     ],
 )
-def test_whatever_work_raises_ends_it_and_only_failures_are_logged(
+def test_any_exception_ends_the_task_and_only_failures_are_logged(
     error: Exception | None, failed: bool, logged: str | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class Raising(LeaderTask):
@@ -134,15 +132,17 @@
                 raise error
 
     async def check() -> None:
-        lines: list[tuple[str, str | None]] = []
-        monkeypatch.setattr(LOG, "event", lambda event, **fields: lines.append((event, fields.get("error"))))
-        told: list[messages.Input] = []
-        runner = TaskRunner(lambda _: Raising(), lambda *_: 10.0, told.append, LOG)
+        log_lines: list[tuple[str, str | None]] = []
+        monkeypatch.setattr(
+            LOG, "event", lambda event, **fields: log_lines.append((event, fields.get("error")))
+        )
+        inputs: list[messages.Input] = []
+        runner = TaskRunner(lambda _: Raising(), lambda *_: 10.0, inputs.append, LOG)
         runner.carry_out(messages.StartTask("d", 5, ""))
         await asyncio.gather(*runner.asyncio_tasks())
-        assert told == [messages.TaskEnded("d", 5, failed)]
+        assert inputs == [messages.TaskEnded("d", 5, failed)]
         failures = [("duty_work", logged)] if logged else []
-        assert lines == [*failures, ("duty_work_over", None)]
+        assert log_lines == [*failures, ("duty_work_over", None)]
         assert not runner.leases
 
     run_bounded(check)
--- a/tests/election/test_lease.py
+++ b/tests/election/test_lease.py
@@ -1,4 +1,4 @@
-"""Leader leases: nothing is done without a permit, nor goes on in uncertainty."""
+"""Leader leases: actions need a permit and are cancelled when leadership becomes uncertain."""
 
 from __future__ import annotations
 
@@ -13,71 +13,71 @@
 )
 
 
-def test_nothing_is_done_in_uncertainty_and_what_is_on_its_way_is_cancelled() -> None:
+def test_uncertain_leadership_cancels_running_actions_and_delays_new_ones() -> None:
     async def check() -> None:
-        held, began = ControlledLease(), asyncio.Event()
+        controlled, started = ControlledLease(), asyncio.Event()
 
-        async def action(granted: Permit) -> str:
-            assert (granted.task, granted.fencing_token, granted.time_left()) == ("d", 3, 10.0)
-            began.set()
+        async def action(permit: Permit) -> str:
+            assert (permit.task, permit.fencing_token, permit.time_left()) == ("d", 3, 10.0)
+            started.set()
             await asyncio.sleep(60)
             return "done"
 
-        acting = asyncio.ensure_future(held.lease.act(action))
-        await began.wait()
-        held.lease.suspend()
-        held.lease.resume()  # even if it is clear again at once
+        running_action = asyncio.ensure_future(controlled.lease.act(action))
+        await started.wait()
+        controlled.lease.suspend()
+        controlled.lease.resume()  # an immediate confirmation does not save the running action
         with pytest.raises(LeaseUncertainError):
-            await acting
-        held.lease.suspend()
+            await running_action
+        controlled.lease.suspend()
 
         async def quick(_: Permit) -> str:
             return "done"
 
-        waiting = asyncio.ensure_future(held.lease.act(quick))
+        waiting_action = asyncio.ensure_future(controlled.lease.act(quick))
         await asyncio.sleep(0.05)
-        assert not waiting.done()
-        held.lease.resume()
-        assert await waiting == "done"
-        held.time_to_act = 0.0  # no timer has come yet: the clock says it
-        waiting = asyncio.ensure_future(held.lease.act(quick))
+        assert not waiting_action.done()
+        controlled.lease.resume()
+        assert await waiting_action == "done"
+        controlled.time_to_act = 0.0  # the lease has run out, but `suspend` was not called
+        waiting_action = asyncio.ensure_future(controlled.lease.act(quick))
         await asyncio.sleep(0.1)
-        assert not waiting.done()
-        held.lease.revoke()
+        assert not waiting_action.done()
+        controlled.lease.revoke()
         with pytest.raises(LeaseLostError):
-            await waiting
+            await waiting_action
         with pytest.raises(LeaseLostError):
-            await held.lease.act(quick)
+            await controlled.lease.act(quick)
 
     run_bounded(check)
 
 
-def test_an_action_that_needs_time_waits_for_a_lease_that_has_it() -> None:
+def test_an_action_waits_until_the_lease_lasts_long_enough() -> None:
     async def check() -> None:
-        held = ControlledLease()
-        held.time_to_act = 1.0
+        controlled = ControlledLease()
+        controlled.time_to_act = 1.0
 
         async def quick(_: Permit) -> str:
             return "done"
 
-        waiting = asyncio.ensure_future(held.lease.act(quick, min_time_to_act=2.0))
+        waiting_action = asyncio.ensure_future(controlled.lease.act(quick, min_time_to_act=2.0))
         await asyncio.sleep(0.1)
-        assert not waiting.done()
-        held.time_to_act = 5.0
-        assert await waiting == "done"
+        assert not waiting_action.done()
+        controlled.time_to_act = 5.0
+        assert await waiting_action == "done"
 
     run_bounded(check)
 
 
-def test_a_higher_token_seen_is_told_to_the_elector() -> None:
+def test_a_rejected_token_is_reported_to_the_elector() -> None:
     async def check() -> None:
-        held = ControlledLease()
+        controlled = ControlledLease()
 
-        async def refused(_: Permit) -> None:
+        async def rejected(_: Permit) -> None:
             raise FencedOffError(9)
 
         with pytest.raises(LeaseUncertainError):
-            await held.lease.act(refused)
-        assert held.rejected_by == [9]
+            await controlled.lease.act(rejected)
+        assert controlled.rejected_by == [9]
 
     run_bounded(check)
--- a/tests/election/test_lease_model.py
+++ b/tests/election/test_lease_model.py
@@ -1,4 +1,4 @@
-"""The model of lease, clocks, pauses and fence: it holds everywhere, and each planted mistake is found."""
+"""The model of leases, clocks, suspension and fencing: it is safe, and each deliberate mistake is found."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from shelfhaven.lab.lease_model import FIRST, Mistake, explore, steps
 
 
-def test_it_holds_in_every_state_there_is() -> None:
-    found = explore()
-    print(f"{found.states} states in {found.seconds:.1f} s")
-    assert (found.breach, found.trace) == ("", ())
-    assert found.states > 100_000
+def test_the_invariants_hold_in_every_reachable_state() -> None:
+    result = explore()
+    print(f"{result.states} states in {result.seconds:.1f} s")
+    assert (result.breach, result.trace) == ("", ())
+    assert result.states > 100_000
 
 
 @pytest.mark.parametrize("mistake", Mistake)
-def test_a_planted_mistake_is_found_with_the_trace_to_it(mistake: Mistake) -> None:
-    found = explore(mistake)
-    assert found.breach == ("order" if mistake is Mistake.NO_FENCE else "one believer")
+def test_a_mistake_is_found_with_a_trace_that_can_be_replayed(mistake: Mistake) -> None:
+    result = explore(mistake)
+    assert result.breach == ("order" if mistake is Mistake.NO_FENCE else "one believer")
     world = FIRST
-    for name in found.trace:  # it can be walked from the first state
-        followers = [step.world for step in steps(world, mistake) if step.name == name]
-        assert followers
-        world = followers[0]
-        if len(followers) > 1:
-            break  # a tick that a clock may have lost: both are there
+    for name in result.trace:
+        next_worlds = [step.world for step in steps(world, mistake) if step.name == name]
+        assert next_worlds
+        world = next_worlds[0]
+        if len(next_worlds) > 1:
+            break  # a tick with and without a loss on the slow clock: the trace does not say which
