--- a/shelfhaven/election/administration.py
+++ b/shelfhaven/election/administration.py
@@ -32,7 +32,7 @@
 from shelfhaven.errors import ShelfhavenError
 
 MAX_ATTEMPTS = 20  # of a write that conflicts with the checkpoints of the task's leader
-EXIT_UNREACHED = 3  # no answer from the store
+EXIT_STORE_UNREACHABLE = 3  # no answer from the store
 EXIT_CONFLICT = 4  # the record has changed in the meantime
 
 
@@ -110,7 +110,7 @@
     return [*lines, f"checkpoint: {record.checkpoint!r}"]
 
 
-def plan_giving(status: TaskStatus, node: str, ranking: CandidateRanking) -> PlannedChange:
+def plan_assignment(status: TaskStatus, node: str, ranking: CandidateRanking) -> PlannedChange:
     """Plan to give a task to a candidate, or with "" to the first one. Raises NotACandidateError."""
     if node and node not in ranking.order:
         candidates = ", ".join(ranking.order) or "nobody"
@@ -128,7 +128,7 @@
     return PlannedChange(status, replace(status.record, disabled=True, successor=""), description)
 
 
-async def carry_out(store: ConsensusStore, change: PlannedChange) -> CommandOutput:
+async def apply_change(store: ConsensusStore, change: PlannedChange) -> CommandOutput:
     """Write the planned record if the stored one is still the one on which the plan is based.
 
     The leader may save checkpoints in this record many times a second. If only the checkpoint has changed,
@@ -142,9 +142,9 @@
             result = await store.compare_and_set(CompareAndSet({key: revision}, {key: Put(record.encode())}))
         except OutcomeUnknownError as error:
             text = f"{name}: the outcome of the change is unknown: {error}; check with 'show'"
-            return CommandOutput([text], EXIT_UNREACHED)
+            return CommandOutput([text], EXIT_STORE_UNREACHABLE)
         except ConsensusError as error:
-            return CommandOutput([f"{name}: the change failed: {error}"], EXIT_UNREACHED)
+            return CommandOutput([f"{name}: the change failed: {error}"], EXIT_STORE_UNREACHABLE)
         if result.applied:
             return CommandOutput([f"{name}: done; its leader, if any, hands it over"])
         entry = result.current.get(key)
--- a/shelfhaven/election/candidacy.py
+++ b/shelfhaven/election/candidacy.py
@@ -43,7 +43,7 @@
         health_delays = 0 if state.healthy else FALLBACK_RANK
         return rank + successor_delays + health_delays
 
-    def plan(self, now: float, task: TaskOwnership) -> None:
+    def schedule_attempt(self, now: float, task: TaskOwnership) -> None:
         """Schedule this node's next attempt to acquire a task, or cancel it if the task has a leader."""
         relinquished = task.state is OwnershipState.RELINQUISHED
         if relinquished and not self.state.draining and not task.record.disabled:
--- a/shelfhaven/election/ownership_changes.py
+++ b/shelfhaven/election/ownership_changes.py
@@ -80,7 +80,7 @@
         task.pending_write = task.unresolved_write = None
         if not any(other.is_owned for other in self.state.tasks.values()):
             self.lease.mark_idle(now)
-        self.candidacy.plan(now, task)
+        self.candidacy.schedule_attempt(now, task)
 
     def lease_expired(self, now: float) -> None:
         """The store has ended the lease, and with it whatever was bound to it."""
--- a/shelfhaven/election/store_updates.py
+++ b/shelfhaven/election/store_updates.py
@@ -50,7 +50,7 @@
                 if task.state is OwnershipState.ACQUIRING and not task.has_open_write:
                     self.state.transition(task, OwnershipState.NOT_LEADING, "read anew")
                 self._reconcile(now, task)
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
 
     def records_changed(self, now: float, snapshot: Snapshot) -> None:
         """Take a watch event as a hint, unless it is older than what is known."""
@@ -62,7 +62,7 @@
                     self._update(task, snapshot.items, snapshot.revision)
                     if self._is_leader(task):  # by a write that came through late
                         self.state.reread([task.name])
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
 
     def _tasks_of(self, snapshot: Snapshot) -> list[TaskOwnership]:
         names = dict.fromkeys(map(task_name, snapshot.items))
@@ -163,7 +163,7 @@
         self._not_applied(task, purpose)
         if as_good_as_read:
             self._reconcile(now, task)
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
         else:
             self.state.reread([task.name])
 
@@ -207,7 +207,7 @@
         task.record = self.hand_over.record_after_release(task)
         task.record_revision = revision
         self.ownership.lost(now, task, "handed on")
-        self.candidacy.plan(now, task)
+        self.candidacy.schedule_attempt(now, task)
 
 
 def _revision(entry: Entry | None) -> int:
--- a/shelfhaven/program/singleton_tasks_command.py
+++ b/shelfhaven/program/singleton_tasks_command.py
@@ -46,14 +46,14 @@
                 return CommandOutput(administration.format_detail(status, ranking))
             return await _give(store, status, node, ranking, confirmed)
     except ConsensusError as error:
-        return CommandOutput([f"no answer of the agreement: {error}"], administration.EXIT_UNREACHED)
+        return CommandOutput([f"no answer of the agreement: {error}"], administration.EXIT_STORE_UNREACHABLE)
 
 
 async def _give(
     store: ConsensusStore, status: TaskStatus, node: str, ranking: CandidateRanking, confirmed: bool
 ) -> CommandOutput:
     try:
-        change = administration.plan_giving(status, node, ranking)
+        change = administration.plan_assignment(status, node, ranking)
     except administration.NotACandidateError as error:
         return CommandOutput([str(error)], EXIT_BAD_NODE)
     return await _change(store, change, confirmed)
@@ -64,7 +64,7 @@
 ) -> CommandOutput:
     if not confirmed:
         return CommandOutput([change.description, "nothing was changed; --yes does it"])
-    output = await administration.carry_out(store, change)
+    output = await administration.apply_change(store, change)
     return CommandOutput([change.description, *output.lines], output.exit_code)
 
 
--- a/tests/election/test_administration.py
+++ b/tests/election/test_administration.py
@@ -63,14 +63,14 @@
 
 
 def test_a_task_is_given_only_to_a_candidate() -> None:
-    change = administration.plan_giving(STATUS, "n2", RANKING)
+    change = administration.plan_assignment(STATUS, "n2", RANKING)
     assert change.record == TaskRecord(7, "120", "n1", "n2")
     assert change.description == "settle: from n1 to n2, after the work in progress has ended"
-    to_first = administration.plan_giving(STATUS, "", RANKING)
+    to_first = administration.plan_assignment(STATUS, "", RANKING)
     assert to_first.record == RECORD
     assert to_first.description == "settle: from n1 to n1, after the work in progress has ended"
     with pytest.raises(administration.NotACandidateError) as rejected:
-        administration.plan_giving(STATUS, "n9", RANKING)
+        administration.plan_assignment(STATUS, "n9", RANKING)
     assert str(rejected.value) == "n9 is not a candidate for settle; candidates: n1, n2"
 
 
@@ -96,13 +96,13 @@
         (before,) = await administration.read_statuses(store, ["d"])
         await write(TaskRecord(5, "20", "a"))
         given = administration.PlannedChange(before, replace(before.record, successor="b"), "")
-        done = await administration.carry_out(store, given)
+        done = await administration.apply_change(store, given)
         assert done == CommandOutput(["d: done; its leader, if any, hands it over"], 0)
         (after,) = await administration.read_statuses(store, ["d"])
         assert after.record == TaskRecord(5, "20", "a", "b"), "the new checkpoint is kept"
         await write(TaskRecord(6, "20", "c"))
         taken_away = administration.PlannedChange(after, replace(after.record, disabled=True), "")
-        conflict = await administration.carry_out(store, taken_away)
+        conflict = await administration.apply_change(store, taken_away)
         assert conflict.exit_code == administration.EXIT_CONFLICT
 
     run_bounded(check)
