--- a/shelfhaven/election/store_updates.py
+++ b/shelfhaven/election/store_updates.py
@@ -51,7 +51,7 @@
                 if task.state is OwnershipState.ACQUIRING and not task.has_open_write:
                     self.state.transition(task, OwnershipState.NOT_LEADING, "the records were read again")
                 self._reconcile(now, task)
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
 
     def records_changed(self, now: float, snapshot: Snapshot) -> None:
         """Apply a watch event, unless it is older than what is known."""
@@ -63,7 +63,7 @@
                     self._update_records(task, snapshot.items, snapshot.revision)
                     if self._is_stored_leader(task):  # by a write that was applied late
                         self.state.reread([task.name])
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
 
     def _tasks_of(self, snapshot: Snapshot) -> list[TaskOwnership]:
         names = dict.fromkeys(map(task_name, snapshot.items))
@@ -165,7 +165,7 @@
         self._write_not_applied(task, purpose)
         if is_authoritative:
             self._reconcile(now, task)
-            self.candidacy.plan(now, task)
+            self.candidacy.schedule_attempt(now, task)
         else:
             self.state.reread([task.name])
 
@@ -211,7 +211,7 @@
         task.record = self.hand_over.record_after_release(task)
         task.record_revision = revision
         self.ownership.lost(now, task, "released")
-        self.candidacy.plan(now, task)
+        self.candidacy.schedule_attempt(now, task)
 
 
 def _revision(entry: Entry | None) -> int:
