--- a/shelfhaven/routing/__init__.py
+++ b/shelfhaven/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, pools, limits and attempts: decisions without I/O, time passed in."""
+"""Routing of requests and load balancing over backend pools, without I/O; the current time is an argument."""
--- a/shelfhaven/routing/attempts.py
+++ b/shelfhaven/routing/attempts.py
@@ -1,6 +1,7 @@
-"""Runs, their attempts at backends, and what the results of attempts mean.
+"""Runs, the results of their attempts, and the actions of a router.
 
-Values without state; `run_router.py` decides with them and `backends/uwsgi_pool.py` carries its actions out.
+This module defines data types and the meaning of attempt results. `run_router.py` makes the decisions, and
+`backends/uwsgi_pool.py` carries out the resulting actions.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
     """How an attempt ended."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # the backend found fault with the request itself
-    FAILED = "failed"  # it answered that it failed
-    UNAVAILABLE = "unavailable"  # it, or a proxy before it, answered that it was not available
-    BROKEN = "broken"  # the connection ended or its bytes cannot be read, after something was sent
+    REJECTED = "rejected"  # the backend answered that the request itself is at fault, or redirected it
+    FAILED = "failed"  # the backend answered with a server error
+    UNAVAILABLE = "unavailable"  # the backend, or a proxy in front of it, answered that it is unavailable
+    BROKEN = "broken"  # after data was sent, the connection closed or the response was malformed
     TIMEOUT = "timeout"
-    NOT_RUN = "not run"  # it answered that nothing ran
-    UNREACHABLE = "unreachable"  # nothing was sent
+    NOT_RUN = "not run"  # the backend answered that it did not run the request
+    UNREACHABLE = "unreachable"  # no data was sent
 
 
 UNAVAILABLE_STATUSES = (
@@ -35,7 +36,8 @@
     HTTPStatus.GATEWAY_TIMEOUT,
 )
 NEVER_RAN = (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE)
-RETRIABLE = (AttemptResult.UNAVAILABLE, AttemptResult.BROKEN, AttemptResult.TIMEOUT)  # another may do better
+# results after which another backend may succeed
+RETRIABLE = (AttemptResult.UNAVAILABLE, AttemptResult.BROKEN, AttemptResult.TIMEOUT)
 SIGNALS = {
     AttemptResult.SERVED: AttemptSignal.SUCCESS,
     AttemptResult.REJECTED: AttemptSignal.SUCCESS,
@@ -57,7 +59,12 @@
 
 
 def result_of(status: int, not_run: bool) -> AttemptResult:
-    """Result of an attempt that was answered; `not_run`: whether the answer states that nothing ran."""
+    """Classify the response to an attempt.
+
+    Args:
+        status: HTTP status of the response.
+        not_run: whether the response states that the request was not run.
+    """
     if is_success(status):
         return AttemptResult.SERVED
     if is_rejection(status, not_run):
@@ -69,19 +76,20 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run that a pool has taken; times as passed in, in seconds.
+    """One run that a pool has accepted; times are in seconds, on the router's clock.
 
     Attributes:
-        run_id: its name, unique among the runs of the pool.
-        class_name: class of its request.
-        deadline: until when its caller waits.
-        idempotent: whether it may run twice.
-        has_idempotency_key: whether its result is worth having after its caller has left.
-        launched_at: when it was launched.
-        pending_until: until when it waits for capacity, while it waits.
-        tried_backends: backends of its attempts so far.
-        may_have_run: whether any attempt may have had its effect.
-        last_result: result of its last attempt.
+        run_id: identifier, unique among the runs of the pool.
+        class_name: class of the request.
+        deadline: time until which the caller waits.
+        idempotent: whether the request may be executed twice.
+        has_idempotency_key: whether the request has an idempotency key, so that its result is still useful
+            after the caller has left.
+        launched_at: time at which the run was launched.
+        pending_until: time until which the run waits for capacity, if it is pending.
+        tried_backends: backends of the attempts so far.
+        may_have_run: whether any attempt may have executed the request.
+        last_result: result of the last attempt.
     """
 
     run_id: str
@@ -98,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start an attempt at a backend, and give it up after `timeout` seconds."""
+    """Start an attempt at a backend, and abandon it after `timeout` seconds."""
 
     run_id: str
     attempt: int
@@ -108,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFinished:
-    """A run is over, `elapsed` seconds after its launch and after so many attempts."""
+    """A run ended, `elapsed` seconds after its launch and after `attempts` attempts."""
 
     run_id: str
     outcome: Outcome
--- a/shelfhaven/routing/backend.py
+++ b/shelfhaven/routing/backend.py
@@ -1,7 +1,7 @@
-"""What a pool knows of one of its backends.
+"""State of one backend of a pool.
 
-Plain state without decisions: `outlier_detection.py` decides on the state of a backend, `pool.py` on the
-attempts that it gets.
+This module only holds data: `outlier_detection.py` decides on the state of a backend, `pool.py` on the
+attempts that are sent to it.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 
 class BackendState(Enum):
-    """Which attempts a backend gets; the values are words of the log."""
+    """Which attempts are sent to a backend. The values appear in the log."""
 
     IN_USE = "in use"
-    SLOW_START = "rising"  # in use, with a growing fraction of its limit
-    EJECTED = "out"  # none until its ejection is over
-    HEALTH_CHECK = "trial"  # one at a time, until its result decides
-    DRAINING = "leaving"  # no new ones; forgotten when its last attempt ends
+    SLOW_START = "rising"  # in use, up to a growing fraction of its limit
+    EJECTED = "out"  # no attempts until the ejection ends
+    HEALTH_CHECK = "trial"  # one attempt at a time, until a result decides on the next state
+    DRAINING = "leaving"  # no new attempts; removed when the last attempt ends
 
 
 ACTIVE_STATES = (BackendState.IN_USE, BackendState.SLOW_START)
 
 
 class AttemptSignal(Enum):
-    """What the end of an attempt says about the health of its backend."""
+    """What the end of an attempt indicates about the health of its backend."""
 
     SUCCESS = "success"
-    FAILURE = "failure"  # the connection broke, the backend failed, or it ran out of time
+    FAILURE = "failure"  # the connection broke, the backend failed, or the attempt timed out
     REJECTED = "rejected"  # the backend answered that it has no capacity
-    UNREACHABLE = "unreachable"  # no connection was made
-    NONE = "none"  # given up on this side: says nothing
+    UNREACHABLE = "unreachable"  # no connection was established
+    NONE = "none"  # abandoned by this node, which indicates nothing about the backend
 
 
 OVERLOAD_SIGNALS = (AttemptSignal.FAILURE, AttemptSignal.REJECTED)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendChange:
-    """A backend changed its state; for the log."""
+    """A change of a backend's state, for the log."""
 
     backend: str
     state: BackendState
@@ -49,8 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightAttempt:
-    """An attempt that has not ended. `concurrency`: attempts in flight at its backend, this one included,
-    when it started."""
+    """An attempt that has not ended.
+
+    Attributes:
+        started_at: time at which it started.
+        class_name: class of its run.
+        concurrency: attempts in flight at the backend when it started, including itself.
+    """
 
     started_at: float
     class_name: str
@@ -59,21 +64,21 @@
 
 @dataclass(slots=True)
 class Backend:
-    """State of one backend; times as passed in, in seconds.
+    """State of one backend; times are in seconds, on the pool's clock.
 
     Attributes:
-        name: its address or name, unique in the pool.
-        limit: its concurrency limit.
-        state: which attempts it gets.
-        state_since: when it entered that state.
-        ejected_until: end of its last ejection.
-        in_flight: its attempts by number, oldest first.
-        consecutive_failures: failures since its last success.
-        ejections: ejections that are not forgiven yet; each doubles the next one's duration.
+        name: address or name, unique in the pool.
+        limit: concurrency limit.
+        state: which attempts are sent to the backend.
+        state_since: time at which the backend entered the state.
+        ejected_until: end of the last ejection.
+        in_flight: attempts in flight by number, oldest first.
+        consecutive_failures: failures since the last success.
+        ejections: recent ejections; each doubles the duration of the next, and time in use reduces the count.
         relative_latency: mean latency in units of the typical latency of the class.
-        latency_samples: successes in that mean.
-        last_result_at: when an attempt last said something about it.
-        health_check_attempt: the attempt that is its health check.
+        latency_samples: successes that contributed to that mean.
+        last_result_at: time of the last result that indicated the backend's health.
+        health_check_attempt: number of the attempt that is the health check, if one is in flight.
     """
 
     name: str
@@ -91,9 +96,9 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it gets attempts up to its limit."""
+        """Whether attempts are sent to the backend, up to its limit."""
         return self.state in ACTIVE_STATES
 
     def oldest_attempt(self) -> InFlightAttempt:
-        """The attempt that has been in flight longest; there must be one."""
+        """The attempt that has been in flight longest; at least one must be in flight."""
         return next(iter(self.in_flight.values()))
--- a/shelfhaven/routing/hash_spread.py
+++ b/shelfhaven/routing/hash_spread.py
@@ -1,4 +1,4 @@
-"""Hash of a name to a fraction: spreads what nodes do without a message between them."""
+"""Hash of a name to a fraction, by which nodes spread their activities without communicating."""
 
 from __future__ import annotations
 
@@ -6,6 +6,9 @@
 
 
 def spread(name: str, purpose: str) -> float:
-    """A fraction from 0 to 1 that is fixed for a name and a purpose, at each start and at every node."""
+    """Hash a name to a fraction from 0 to 1.
+
+    The fraction depends only on the name and the purpose, so it is the same on every node and after restarts.
+    """
     digest = hashlib.blake2b(f"{purpose}/{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / float(1 << 64)
--- a/shelfhaven/routing/pool_settings.py
+++ b/shelfhaven/routing/pool_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a pool of backends, as its operator states them."""
+"""Settings of a pool of backends, from the operator configuration."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
     """Settings of one pool; times in seconds, fractions from 0 to 1.
 
     Attributes:
-        initial_limit: concurrency limit of a backend of which nothing is known yet, in runs.
+        initial_limit: concurrency limit of a new backend, in runs.
         min_limit: lower bound of a backend's concurrency limit, in runs.
         max_limit: upper bound of a backend's concurrency limit, in runs.
-        latency_tolerance: ratio of latency to latency under light load up to which a limit does not shrink.
-        ejection_failures: consecutive failures that eject a backend.
-        ejection_latency_ratio: ratio of a backend's latency to the median of the others that ejects it.
-        max_ejected_fraction: fraction of the backends that may be ejected at a time.
-        base_ejection_time: duration of a first ejection, doubled for each further one.
-        max_ejection_time: upper bound of that duration.
-        slow_start_window: time in which a backend that comes back reaches its complete limit.
-        max_attempts: attempts of one run.
-        retry_ratio: retries for each run, over the pool.
-        retry_reserve: retries that can be saved up.
-        max_pending_time: time that a run waits for capacity.
-        max_pending_runs: runs that wait for capacity at a time.
-        idempotent_grace: time past its caller's deadline in which the result of a run with an idempotency
+        latency_tolerance: ratio of recent to light-load latency up to which a limit does not shrink.
+        ejection_failures: consecutive failures after which a backend is ejected.
+        ejection_latency_ratio: ratio to the median latency of the others above which a backend is ejected.
+        max_ejected_fraction: maximum fraction of the backends that is ejected at a time.
+        base_ejection_time: duration of the first ejection, doubled for each further one.
+        max_ejection_time: upper bound of the duration of an ejection, before jitter.
+        slow_start_window: time in which a new or recovered backend reaches its full limit.
+        max_attempts: maximum number of attempts of one run.
+        retry_ratio: retries that the pool may make per run, on average.
+        retry_reserve: maximum number of unused retries that the pool can accumulate.
+        max_pending_time: maximum time that a run waits for capacity.
+        max_pending_runs: maximum number of runs that wait for capacity at a time.
+        idempotent_grace: time after the caller's deadline for which the result of a run with an idempotency
             key is still awaited.
-        connect_timeout: time for a connection to be made.
+        connect_timeout: maximum time to establish a connection.
     """
 
     initial_limit: float = 8.0
--- a/shelfhaven/routing/retry_budget.py
+++ b/shelfhaven/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget of a pool: retries are a bounded fraction of its runs, so that they cannot multiply load."""
+"""Retry budget of a pool: limits retries to a fraction of the runs, so that they cannot multiply the load."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """A token bucket of retries, filled by runs.
+    """A token bucket for retries that each run refills by a fraction of a token.
 
     Attributes:
-        retry_ratio: retries that each run earns.
-        max_tokens: retries that can be saved up.
-        tokens: retries that are allowed at present; as many as can be saved up where nothing is given.
+        retry_ratio: tokens that each run adds.
+        max_tokens: maximum number of tokens.
+        tokens: retries that are currently allowed; initially `max_tokens` unless another value is given.
     """
 
     retry_ratio: float
@@ -25,15 +25,15 @@
 
     @property
     def allows_retry(self) -> bool:
-        """Whether a retry is allowed."""
+        """Whether at least one retry is allowed."""
         return self.tokens >= 1.0
 
     def record_request(self) -> None:
-        """A run was launched."""
+        """Add the tokens of a run that was launched."""
         self.tokens = min(self.max_tokens, self.tokens + self.retry_ratio)
 
     def take_retry(self) -> bool:
-        """Take a token for one retry; False where none is allowed."""
+        """Take the token of one retry; returns False if none is available."""
         if not self.allows_retry:
             return False
         self.tokens -= 1.0
--- a/shelfhaven/routing/typical_latency.py
+++ b/shelfhaven/routing/typical_latency.py
@@ -1,41 +1,42 @@
-"""How long a run of each class typically takes in a pool.
+"""Typical latency of each request class in a pool.
 
-A pool compares latencies of unlike classes in units of these: the result is called a *relative latency*.
+To compare latencies across classes, a pool divides each by the typical latency of its class. The result is
+called a *relative latency*.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-GAIN = 1 / 32  # weight of a new latency in the mean of its class
-MAX_RELATIVE_SAMPLE = 4.0  # typical latencies that one sample counts as at most, against tails and outliers
-MIN_SECONDS = 1e-6  # lower bound, as latencies are divided by it
+GAIN = 1 / 32  # weight of a new sample in the mean of its class
+MAX_RELATIVE_SAMPLE = 4.0  # cap on a sample, so that the tail and outliers do not distort the mean
+MIN_TYPICAL_LATENCY = 1e-6  # seconds; nonzero because it is a divisor
 
 
 class TypicalLatencies:
-    """Mean latency under light load by class, in seconds; a class is unknown until its first success."""
+    """Mean latency under light load by class, in seconds; a class is unknown until its first sample."""
 
     def __init__(self) -> None:
         self.by_class: dict[str, float] = {}
 
     def recall(self, by_class: Mapping[str, float]) -> None:
-        """Take the means of a previous incarnation for classes that are unknown here."""
-        recalled = {class_name: seconds for class_name, seconds in by_class.items() if seconds > 0}
-        self.by_class = {**recalled, **self.by_class}
+        """Restore the means of a previous incarnation for classes that are not known yet."""
+        restored = {class_name: seconds for class_name, seconds in by_class.items() if seconds > 0}
+        self.by_class = {**restored, **self.by_class}
 
     def expected(self, class_name: str) -> float:
-        """Seconds that a run of the class is expected to take; 0 while that is unknown."""
+        """Expected duration of a run of the class in seconds; 0 if the class is unknown."""
         return self.by_class.get(class_name, 0.0)
 
     def relative(self, class_name: str, elapsed: float) -> float:
-        """A latency in units of its class's typical one; the first latency of a class defines it."""
+        """Convert a latency to a relative latency; the first one of a class becomes its typical latency."""
         typical = self.by_class.get(class_name)
         if typical is None:
-            typical = self.by_class[class_name] = max(elapsed, MIN_SECONDS)
+            typical = self.by_class[class_name] = max(elapsed, MIN_TYPICAL_LATENCY)
         return elapsed / typical
 
     def learn(self, class_name: str, relative_latency: float) -> None:
-        """Take a latency into the mean of its class, which must be known."""
+        """Add a relative latency to the mean of its class, which must be known."""
         typical = self.by_class[class_name]
         excess = min(relative_latency, MAX_RELATIVE_SAMPLE) - 1
-        self.by_class[class_name] = max(MIN_SECONDS, typical + GAIN * typical * excess)
+        self.by_class[class_name] = max(MIN_TYPICAL_LATENCY, typical + GAIN * typical * excess)
--- a/shelfhaven/routing/warm_start.py
+++ b/shelfhaven/routing/warm_start.py
@@ -1,12 +1,14 @@
-"""Warm start: estimates of backends that a starting node takes from a running one or from the disk.
+"""Warm start: a starting node takes estimates of its backends from a running node (the donor) or from disk.
 
-An estimate is a prior: it biases the first choices, and the first answers of the node's own overrule it. Its
-weight is the donor's health (0 to 1), halved for each half-life of its age. Latencies are transferred
-relative to the other backends, which a donor's own load hardly distorts; typical latencies are not
-transferred between nodes, as the first answer tells them better. A backend reported as ejected is checked
-soon, and if more than half are reported so, the donor is taken to be the one that is cut off.
+An estimate serves as a prior: it biases the first choices until the node's own first responses outweigh it.
+Its weight is the donor's health (0 to 1), halved for each half-life of the estimate's age.
 
-Pure: no I/O and no clock, the time is passed in.
+Only relative latencies are transferred, because the donor's own load hardly distorts them. Typical latencies
+are not transferred between nodes, as the first response measures them better. A backend that is reported as
+ejected is health-checked soon. If more than half of the backends are reported as ejected, the node assumes
+that the donor itself is disconnected and ignores its estimates.
+
+This module does no I/O and reads no clock: the current time is an argument.
 """
 
 from __future__ import annotations
@@ -18,24 +20,24 @@
 from shelfhaven.routing.backend import Backend, BackendState
 from shelfhaven.routing.pool import Pool
 
-HALF_LIFE = 60.0  # seconds in which the weight of an estimate halves
-MIN_WEIGHT = 0.05  # below it an estimate is not taken
-REPORTED_EJECTIONS = 3  # that a report at complete weight counts as, if the health check bears it out
-MAX_REPORTED_EJECTION = 3.0  # seconds that a backend stays ejected on a report, at most
-MAX_BACKENDS = 256  # in one message
-MAX_RELATIVE_LATENCY = 20.0  # typical latencies, in a message
-FIELDS = 4  # numbers for each backend in a message
+HALF_LIFE = 60.0  # seconds of age in which the weight of an estimate halves
+MIN_ESTIMATE_WEIGHT = 0.05  # estimates with a lower weight are ignored
+REPORTED_EJECTIONS = 3  # ejections that a report of full weight counts as, if the health check confirms it
+MAX_REPORTED_EJECTION = 3.0  # seconds; maximum duration of an ejection that is based on a report
+MAX_BACKENDS = 256  # maximum number of backends in one message
+MAX_RELATIVE_LATENCY = 20.0  # maximum in a message, in typical latencies
+NUMBERS_PER_BACKEND = 4  # fields of `BackendEstimate` in a message
 
 
 @dataclass(frozen=True, slots=True)
 class BackendEstimate:
-    """What is known of one backend.
+    """Estimated state of one backend.
 
     Attributes:
-        relative_latency: its latency in units of the typical one.
-        concurrency_limit: its adaptive limit, in runs.
-        ejected_for: seconds that it stays ejected; 0 if it is in use.
-        age: seconds since the last answer.
+        relative_latency: latency in units of the typical latency.
+        concurrency_limit: adaptive limit, in runs.
+        ejected_for: seconds until the ejection ends; 0 if the backend is not ejected.
+        age: seconds since the last result.
     """
 
     relative_latency: float
@@ -45,7 +47,7 @@
 
 
 def estimates_of(now: float, pool: Pool) -> dict[str, BackendEstimate]:
-    """What a pool knows of its backends from answers of its own."""
+    """Estimates of the backends that a pool has measured or currently ejects."""
     estimates: dict[str, BackendEstimate] = {}
     for backend in pool.backends.values():
         is_ejected = backend.state is BackendState.EJECTED
@@ -66,25 +68,25 @@
 
 
 def apply_estimates(now: float, pool: Pool, estimates: Mapping[str, BackendEstimate], health: float) -> int:
-    """Take a donor's estimates as priors; returns the number of backends that took one."""
-    known = {name: estimate for name, estimate in estimates.items() if name in pool.backends}
-    if sum(estimate.ejected_for > 0 for estimate in known.values()) > len(pool.backends) / 2:
+    """Apply a donor's estimates as priors; returns the number of backends to which one was applied."""
+    in_pool = {name: estimate for name, estimate in estimates.items() if name in pool.backends}
+    if sum(estimate.ejected_for > 0 for estimate in in_pool.values()) > len(pool.backends) / 2:
         return 0
     applied = 0
-    for name, estimate in known.items():
+    for name, estimate in in_pool.items():
         backend = pool.backends[name]
         weight = estimate_weight(health, estimate.age)
-        if backend.latency_samples or weight < MIN_WEIGHT or not backend.is_active:
+        if backend.latency_samples or weight < MIN_ESTIMATE_WEIGHT or not backend.is_active:
             continue
         applied += 1
-        _apply(backend, estimate, weight)
+        _apply_prior(backend, estimate, weight)
         if estimate.ejected_for > 0:
             duration = min(MAX_REPORTED_EJECTION, estimate.ejected_for) * weight
-            pool.outliers.eject_on_report(now, backend, duration, round(REPORTED_EJECTIONS * weight))
+            pool.outlier_detector.eject_on_report(now, backend, duration, round(REPORTED_EJECTIONS * weight))
     return applied
 
 
-def _apply(backend: Backend, estimate: BackendEstimate, weight: float) -> None:
+def _apply_prior(backend: Backend, estimate: BackendEstimate, weight: float) -> None:
     relative_latency = max(1.0, min(MAX_RELATIVE_LATENCY, estimate.relative_latency))
     backend.relative_latency = 1.0 + weight * (relative_latency - 1.0)
     limit = backend.limit
@@ -93,7 +95,7 @@
 
 
 def to_json_values(estimates: Mapping[str, BackendEstimate]) -> dict[str, list[float]]:
-    """The JSON form: four numbers for each backend."""
+    """Encode estimates for JSON, as four numbers for each backend."""
     return {
         name: [estimate.relative_latency, estimate.concurrency_limit, estimate.ejected_for, estimate.age]
         for name, estimate in estimates.items()
@@ -101,16 +103,20 @@
 
 
 def from_json_values(raw: object) -> dict[str, BackendEstimate]:
-    """Read the JSON form. Raises ValueError if it is malformed."""
+    """Decode estimates from JSON values. Raises ValueError if they are malformed."""
     if not isinstance(raw, dict) or len(raw) > MAX_BACKENDS:
-        raise ValueError("servers: no table of bounded length")
+        raise ValueError("servers: not a table, or it has too many entries")
     estimates = {}
     for name, numbers in raw.items():
-        if not (isinstance(numbers, list) and len(numbers) == FIELDS and all(map(_is_valid, numbers))):
-            raise ValueError("servers: not four numbers a server")
+        if not (
+            isinstance(numbers, list)
+            and len(numbers) == NUMBERS_PER_BACKEND
+            and all(map(_is_valid_number, numbers))
+        ):
+            raise ValueError("servers: expected four finite, non-negative numbers for each server")
         estimates[str(name)] = BackendEstimate(*(float(number) for number in numbers))
     return estimates
 
 
-def _is_valid(number: object) -> bool:
+def _is_valid_number(number: object) -> bool:
     return isinstance(number, int | float) and 0 <= number < math.inf
--- a/tests/routing/pools.py
+++ b/tests/routing/pools.py
@@ -1,4 +1,4 @@
-"""Pools for tests: made of a few backends, or driven in virtual time."""
+"""Test helpers: small pools, slow starts, and a pool simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def make_pool(count: int = 4, **changes: float) -> Pool:
-    """A pool of so many backends, named s0, s1 and so on."""
+    """A pool of `count` backends named s0, s1 and so on; `changes` are pool settings."""
     names = [f"s{n}" for n in range(count)]
     return Pool(replace(SETTINGS, **changes), names, 0.0, Random(1))  # type: ignore[arg-type]
 
 
 def make_slow_start(fleet_size: int, cold_fraction: float = 1.0, **changes: float) -> SlowStart:
-    """A slow start that begins at 0, in a fleet of so many nodes."""
+    """A slow start that begins at time 0; `changes` are slow start settings."""
     values = {"window": 10.0, "backend_concurrency": 16.0, "backend_connection_rate": 1000.0, **changes}
     slow_start = SlowStart(SlowStartSettings(**values), 0.0)
     slow_start.update(0.0, cold_fraction, fleet_size)
@@ -30,13 +30,13 @@
 
 
 def states_of(pool: Pool) -> dict[str, BackendState]:
-    """States by name."""
+    """States of the backends by name."""
     return {name: backend.state for name, backend in pool.backends.items()}
 
 
 @dataclass(frozen=True, order=True)
-class PendingEnd:
-    """An attempt that will end."""
+class ScheduledEnd:
+    """The scheduled end of an attempt."""
 
     at: float
     attempt: int
@@ -44,7 +44,7 @@
 
 
 class SimulatedPool:
-    """A pool in virtual time, with functions that say how long a backend takes and how its attempts end."""
+    """A pool in virtual time; `latency` and `signal` give the results of attempts by the backend's name."""
 
     def __init__(
         self, pool: Pool, latency: Callable[[str], float], signal: Callable[[str], AttemptSignal]
@@ -54,11 +54,11 @@
         self.signal = signal
         self.now = 0.0
         self.attempts = 0
-        self.in_flight: list[PendingEnd] = []
+        self.in_flight: list[ScheduledEnd] = []
         self.attempts_by_backend: Counter[str] = Counter()
 
     def run(self, runs: int, interval: float) -> None:
-        """Begin so many runs, at intervals of so many seconds."""
+        """Start `runs` runs, `interval` seconds apart."""
         for _ in range(runs):
             self.now += interval
             self.end_attempts()
@@ -68,11 +68,11 @@
                 self.pool.begin_attempt(self.now, backend, self.attempts, "c")
                 self.attempts_by_backend[backend.name] += 1
                 end = self.now + self.latency(backend.name)
-                self.in_flight.append(PendingEnd(end, self.attempts, backend.name))
+                self.in_flight.append(ScheduledEnd(end, self.attempts, backend.name))
 
     def end_attempts(self) -> None:
         """End the attempts that are due by now."""
-        for pending in sorted(self.in_flight):
-            if pending.at <= self.now:
-                self.pool.end_attempt(pending.at, pending.attempt, self.signal(pending.backend))
-                self.in_flight.remove(pending)
+        for scheduled in sorted(self.in_flight):
+            if scheduled.at <= self.now:
+                self.pool.end_attempt(scheduled.at, scheduled.attempt, self.signal(scheduled.backend))
+                self.in_flight.remove(scheduled)
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -1,4 +1,4 @@
-"""What the answers of backends say of their attempts."""
+"""Classification of backend responses into attempt results."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         (504, False, AttemptResult.UNAVAILABLE),
     ],
 )
-def test_the_status_of_a_backends_reply_is_the_result_of_its_attempt(
+def test_response_status_determines_the_attempt_result(
     status: int, not_run: bool, result: AttemptResult
 ) -> None:
     assert result_of(status, not_run) is result
--- a/tests/routing/test_pool.py
+++ b/tests/routing/test_pool.py
@@ -1,4 +1,4 @@
-"""Which backend gets an attempt, and what a new endpoint list changes."""
+"""Load balancing over a pool, and updates of its endpoint list."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from tests.routing.pools import SETTINGS, SimulatedPool, make_pool, states_of
 
 
-def test_equal_backends_get_equal_shares() -> None:
+def test_equal_backends_receive_equal_shares() -> None:
     simulated = SimulatedPool(make_pool(), lambda _: 0.1, lambda _: AttemptSignal.SUCCESS)
     simulated.run(400, 0.02)
     assert all(80 <= count <= 120 for count in simulated.attempts_by_backend.values())
     assert set(states_of(simulated.pool).values()) == {BackendState.IN_USE}
 
 
-def test_a_backend_removed_from_the_list_drains() -> None:
+def test_backend_removed_from_the_endpoint_list_drains() -> None:
     pool = make_pool(2)
     backend = pool.backends["s0"]
     pool.begin_attempt(0.0, backend, 1, "c")
@@ -28,7 +28,7 @@
     assert pool.backends["s2"].state is BackendState.SLOW_START
 
 
-def test_a_backend_that_is_listed_again_while_it_drains_keeps_its_state() -> None:
+def test_backend_that_is_listed_again_while_draining_keeps_its_state() -> None:
     pool = make_pool(2)
     backend = pool.backends["s0"]
     pool.begin_attempt(0.0, backend, 1, "c")
@@ -38,7 +38,7 @@
     assert pool.draining == []
 
 
-def test_a_backend_in_slow_start_has_a_growing_fraction_of_its_limit() -> None:
+def test_backend_in_slow_start_may_use_a_growing_fraction_of_its_limit() -> None:
     pool = make_pool(1, slow_start_window=10.0)
     pool.update(0.0, replace(SETTINGS, slow_start_window=10.0), ["s0", "s1"])
     backend = pool.backends["s1"]
@@ -47,7 +47,7 @@
     assert pool.capacity(5.0) == 4 + 2
 
 
-def test_an_attempt_that_is_not_in_flight_ends_without_effect() -> None:
+def test_end_of_an_unknown_attempt_has_no_effect() -> None:
     pool = make_pool(1)
     before = repr(pool.backends)
     pool.end_attempt(1.0, 7, AttemptSignal.FAILURE)
