--- a/shelfhaven/backends/uwsgi_pool.py
+++ b/shelfhaven/backends/uwsgi_pool.py
@@ -29,7 +29,7 @@
     Run,
     RunFinished,
     SendAttempt,
-    result_of,
+    classify_response,
 )
 from shelfhaven.routing.run_router import RunRouter
 from shelfhaven.routing.slow_start import SlowStart
@@ -74,7 +74,7 @@
 
     def take_reply(self, reply: http.Response) -> None:
         """The backend answered."""
-        self.result = result_of(reply.status, reply.not_run)
+        self.result = classify_response(reply.status, reply.not_run)
         self.body = reply.body
 
 
--- a/shelfhaven/consensus/peer_client.py
+++ b/shelfhaven/consensus/peer_client.py
@@ -36,7 +36,7 @@
     Snapshot,
 )
 from shelfhaven.membership.peer_rpc import PeerRpc, PeerRpcError
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 if TYPE_CHECKING:
     from shelfhaven.consensus.raft_replica import RaftReplica
@@ -69,7 +69,7 @@
         self.timeout = timeout  # seconds
         self.replica = replica
         # Nodes start with different members, which spreads the load.
-        self.member_index = int(spread(node, "agree") * len(self.member_addresses))
+        self.member_index = int(hash_fraction(node, "agree") * len(self.member_addresses))
         self.request_count = 0
         if replica:
             peer_rpc.routes[REQUEST_PATH] = self.handle_request
--- a/shelfhaven/election/candidate_ranking.py
+++ b/shelfhaven/election/candidate_ranking.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 MAX_LOAD_FACTOR = 1.25  # times the even share that one node gets at most
 CANDIDATES = 5  # of a task: more never try to acquire it at a time
@@ -45,7 +45,7 @@
 
 
 def _candidates(task: str, nodes: Sequence[str]) -> list[str]:
-    return heapq.nlargest(CANDIDATES, nodes, key=lambda node: (spread(node, f"duty/{task}"), node))
+    return heapq.nlargest(CANDIDATES, nodes, key=lambda node: (hash_fraction(node, f"duty/{task}"), node))
 
 
 def rank_candidates(tasks: Mapping[str, str], nodes: Iterable[CandidateNode]) -> dict[str, CandidateRanking]:
@@ -61,7 +61,7 @@
     loads: dict[str, Counter[str]] = {}
     tasks_by_zone = Counter(tasks.values())
     rankings: dict[str, CandidateRanking] = {}
-    for task in sorted(tasks, key=lambda task: (spread(task, "duties"), task)):
+    for task in sorted(tasks, key=lambda task: (hash_fraction(task, "duties"), task)):
         zone = tasks[task]
         eligible = nodes_by_zone.get(zone, [])
         if not eligible:
--- a/shelfhaven/failover/traffic_policy.py
+++ b/shelfhaven/failover/traffic_policy.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 POLICY_KEY = "zones/orders"  # of the policy in the consensus store
 MAX_REASON_LENGTH = 200  # characters
@@ -119,7 +119,7 @@
         policy = self.zone_policy(zone)
         left_to_others = policy.cause is FailoverCause.UNREACHABLE or policy.diverted_by_class
         diverted = 0.0 if left_to_others else policy.diverted_fraction
-        return spread(node, f"zones/{zone}") < diverted
+        return hash_fraction(node, f"zones/{zone}") < diverted
 
     def with_zone_policy(self, zone: str, policy: ZonePolicy) -> TrafficPolicy:
         """The next epoch, in which one zone has another policy."""
--- a/shelfhaven/idempotency/replica_messenger.py
+++ b/shelfhaven/idempotency/replica_messenger.py
@@ -14,7 +14,7 @@
 )
 from shelfhaven.idempotency.wire import JsonValue, ReservationQuery, VoteAnswer, encode_message
 from shelfhaven.membership.clock import boottime
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 SendDatagram: TypeAlias = Callable[[str, JsonValue], None]  # to an address, a JSON value
 NO_ANSWER_EXPECTED = 0  # number of a query that is not answered
@@ -87,4 +87,4 @@
     if len(groups) == 1:
         return next(iter(groups.values()))
     key = key_digest.hex()
-    return groups[max(groups, key=lambda group: spread(key, group))]
+    return groups[max(groups, key=lambda group: hash_fraction(key, group))]
--- a/shelfhaven/lab/failover_simulation.py
+++ b/shelfhaven/lab/failover_simulation.py
@@ -32,7 +32,7 @@
 )
 from shelfhaven.lab.virtual_clock import Virtual
 from shelfhaven.membership.signed_datagram import seal
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 TICK = 0.5  # seconds between two samples of traffic, measurements of nodes, and decisions
 SECRET = b"a secret of the laboratory"
@@ -374,7 +374,9 @@
     def _read_store(self) -> None:
         if int(self.now / TICK) % int(STORE_READ_INTERVAL / TICK):
             return
-        readers = sorted(self.nodes.values(), key=lambda node: spread(node.name, "watch"))[:STORE_READERS]
+        readers = sorted(self.nodes.values(), key=lambda node: hash_fraction(node.name, "watch"))[
+            :STORE_READERS
+        ]
         for node in readers:
             if self._reaches_store(node) and self.policy.epoch:
                 self._follow(node, self.policy)
--- a/shelfhaven/membership/poll_schedule.py
+++ b/shelfhaven/membership/poll_schedule.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import NamedTuple
 
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 FIRST_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 60.0
@@ -35,14 +35,14 @@
 
 def rank(name: str, purpose: str) -> Rank:
     """Return the rank of a name for a purpose."""
-    return Rank(spread(name, purpose), name)
+    return Rank(hash_fraction(name, purpose), name)
 
 
 def next_slot(name: str, purpose: str, unix: float, window: float) -> float:
     """The node's next slot at or after a time; both in Unix seconds."""
     if window <= 0:
         return unix
-    offset = spread(name, purpose) * window
+    offset = hash_fraction(name, purpose) * window
     slot = unix - unix % window + offset
     return slot if slot >= unix else slot + window
 
--- a/shelfhaven/program/state.py
+++ b/shelfhaven/program/state.py
@@ -62,7 +62,7 @@
                 known = saved.pools.get(name, PoolEstimates())
                 known_servers = saved_estimates.aged_server_estimates(known, age)
                 servers += warm_start.apply_estimates(time.monotonic(), pool, known_servers, weight)
-                pool.latencies.recall(known.usual_durations)
+                pool.latencies.restore(known.usual_durations)
         self.log.event("learned", age=round(age, 1), counts=round(weight, 3), servers=servers)
 
     def _reconcile(self, label: KeyLabel) -> None:
--- a/shelfhaven/routing/attempts.py
+++ b/shelfhaven/routing/attempts.py
@@ -35,10 +35,10 @@
     HTTPStatus.SERVICE_UNAVAILABLE,
     HTTPStatus.GATEWAY_TIMEOUT,
 )
-NEVER_RAN = (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE)
+NOT_RUN_RESULTS = (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE)
 # results after which another backend may succeed
-RETRIABLE = (AttemptResult.UNAVAILABLE, AttemptResult.BROKEN, AttemptResult.TIMEOUT)
-SIGNALS = {
+RETRIABLE_RESULTS = (AttemptResult.UNAVAILABLE, AttemptResult.BROKEN, AttemptResult.TIMEOUT)
+SIGNAL_BY_RESULT = {
     AttemptResult.SERVED: AttemptSignal.SUCCESS,
     AttemptResult.REJECTED: AttemptSignal.SUCCESS,
     AttemptResult.FAILED: AttemptSignal.FAILURE,
@@ -48,7 +48,7 @@
     AttemptResult.NOT_RUN: AttemptSignal.REJECTED,
     AttemptResult.UNREACHABLE: AttemptSignal.UNREACHABLE,
 }
-OUTCOMES = {
+OUTCOME_BY_RESULT = {
     AttemptResult.SERVED: Outcome.OK,
     AttemptResult.REJECTED: Outcome.ERROR,
     AttemptResult.FAILED: Outcome.ERROR,
@@ -58,7 +58,7 @@
 }
 
 
-def result_of(status: int, not_run: bool) -> AttemptResult:
+def classify_response(status: int, not_run: bool) -> AttemptResult:
     """Classify the response to an attempt.
 
     Args:
--- a/shelfhaven/routing/hash_spread.py
+++ b/shelfhaven/routing/hash_spread.py
@@ -5,7 +5,7 @@
 import hashlib
 
 
-def spread(name: str, purpose: str) -> float:
+def hash_fraction(name: str, purpose: str) -> float:
     """Hash a name to a fraction from 0 to 1.
 
     The fraction depends only on the name and the purpose, so it is the same on every node and after restarts.
--- a/shelfhaven/routing/pool.py
+++ b/shelfhaven/routing/pool.py
@@ -56,7 +56,7 @@
         self.draining: list[Backend] = []  # removed from the endpoint list but with attempts in flight
         self.latencies = TypicalLatencies()
         self.outlier_detector = OutlierDetector(settings, self.backends, self.latencies, random)
-        self.by_attempt: dict[int, Backend] = {}
+        self.backend_by_attempt: dict[int, Backend] = {}
         for name in names:
             self.backends[name] = self._new_backend(name, now, BackendState.IN_USE)
 
@@ -178,7 +178,7 @@
 
     def is_local(self, attempt: int) -> bool:
         """Whether an attempt is in flight at a backend in this node's own zone."""
-        backend = self.by_attempt.get(attempt)
+        backend = self.backend_by_attempt.get(attempt)
         if backend is None:
             return False
         return self.locality is None or self.zone_of(backend) == self.locality.zone
@@ -220,13 +220,13 @@
         if self.locality:
             self.locality.record_attempt(self.zone_of(backend))
         backend.in_flight[attempt] = InFlightAttempt(now, class_name, len(backend.in_flight) + 1)
-        self.by_attempt[attempt] = backend
+        self.backend_by_attempt[attempt] = backend
         if backend.state is BackendState.HEALTH_CHECK:
             backend.health_check_attempt = attempt
 
     def end_attempt(self, now: float, attempt: int, signal: AttemptSignal) -> None:
         """Record the end of an attempt; unknown attempts are ignored."""
-        backend = self.by_attempt.pop(attempt, None)
+        backend = self.backend_by_attempt.pop(attempt, None)
         if backend is None:
             return
         concurrency_at_end = len(backend.in_flight)
@@ -292,7 +292,7 @@
 
     def in_flight(self) -> int:
         """Attempts in flight at all backends."""
-        return len(self.by_attempt)
+        return len(self.backend_by_attempt)
 
     def next_state_change(self, now: float) -> float:
         """Earliest time at which capacity may open without an attempt ending; infinite if there is none."""
@@ -318,7 +318,9 @@
         """Whether this node's slow start, if it has one, allows another attempt now."""
         if not self.slow_start:
             return True
-        return len(self.by_attempt) < int(self._concurrency_quota()) and self._connection_delay(now) <= 0
+        return (
+            len(self.backend_by_attempt) < int(self._concurrency_quota()) and self._connection_delay(now) <= 0
+        )
 
     def _concurrency_quota(self) -> float:
         """Runs that this node may have in flight at all active backends together."""
--- a/shelfhaven/routing/retry_budget.py
+++ b/shelfhaven/routing/retry_budget.py
@@ -28,7 +28,7 @@
         """Whether at least one retry is allowed."""
         return self.tokens >= 1.0
 
-    def record_request(self) -> None:
+    def record_run(self) -> None:
         """Add the tokens of a run that was launched."""
         self.tokens = min(self.max_tokens, self.tokens + self.retry_ratio)
 
--- a/shelfhaven/routing/run_router.py
+++ b/shelfhaven/routing/run_router.py
@@ -18,10 +18,10 @@
 
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.routing.attempts import (
-    NEVER_RAN,
-    OUTCOMES,
-    RETRIABLE,
-    SIGNALS,
+    NOT_RUN_RESULTS,
+    OUTCOME_BY_RESULT,
+    RETRIABLE_RESULTS,
+    SIGNAL_BY_RESULT,
     Action,
     AttemptResult,
     Run,
@@ -73,7 +73,7 @@
         if run.run_id not in self.runs:
             run.launched_at = now
             self.runs[run.run_id] = run
-            self.retry_budget.record_request()
+            self.retry_budget.record_run()
             self._dispatch(now, run)
         return self._take_actions()
 
@@ -82,9 +82,9 @@
         run = self.by_attempt.pop(attempt, None)
         if run is not None:
             is_local = self.pool.is_local(attempt)
-            self.pool.end_attempt(now, attempt, SIGNALS[result])
+            self.pool.end_attempt(now, attempt, SIGNAL_BY_RESULT[result])
             run.last_result = result
-            run.may_have_run |= result not in NEVER_RAN
+            run.may_have_run |= result not in NOT_RUN_RESULTS
             is_retried = self._should_retry(now, run)
             if is_local:
                 self._count_local_result(run, result, is_retried)
@@ -189,7 +189,7 @@
     # Results
 
     def _count_local_result(self, run: Run, result: AttemptResult, is_retried: bool) -> None:
-        signal = SIGNALS[result]
+        signal = SIGNAL_BY_RESULT[result]
         if signal not in (AttemptSignal.SUCCESS, AttemptSignal.FAILURE):
             return
         if is_retried and result is AttemptResult.TIMEOUT:
@@ -202,14 +202,16 @@
             self.retry_budget.take_retry()
             self.retries += 1
             self._dispatch(now, run)
-        elif run.last_result in OUTCOMES:
-            self._finish(now, run, OUTCOMES[run.last_result])
+        elif run.last_result in OUTCOME_BY_RESULT:
+            self._finish(now, run, OUTCOME_BY_RESULT[run.last_result])
         else:
             self._give_up(now, run)
 
     def _should_retry(self, now: float, run: Run) -> bool:
         """Whether a retry is harmless, useful, in time and within the budget."""
-        if run.last_result not in (*RETRIABLE, *NEVER_RAN) or (run.may_have_run and not run.idempotent):
+        if run.last_result not in (*RETRIABLE_RESULTS, *NOT_RUN_RESULTS) or (
+            run.may_have_run and not run.idempotent
+        ):
             return False
         in_time = now + self.pool.latencies.expected(run.class_name) < run.deadline
         has_untried = any(name not in run.tried_backends for name in self.pool.backends)
@@ -219,7 +221,7 @@
     def _give_up(self, now: float, run: Run) -> None:
         """Finish a run without a further attempt; whether it may have run decides its outcome."""
         if run.may_have_run:
-            self._finish(now, run, OUTCOMES.get(run.last_result, Outcome.ERROR))
+            self._finish(now, run, OUTCOME_BY_RESULT.get(run.last_result, Outcome.ERROR))
             return
         unreachable = bool(run.tried_backends) and run.last_result is AttemptResult.UNREACHABLE
         self._finish(now, run, Outcome.CONNECT_FAILED if unreachable else Outcome.REJECTED)
--- a/shelfhaven/routing/typical_latency.py
+++ b/shelfhaven/routing/typical_latency.py
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self.by_class: dict[str, float] = {}
 
-    def recall(self, by_class: Mapping[str, float]) -> None:
+    def restore(self, by_class: Mapping[str, float]) -> None:
         """Restore the means of a previous incarnation for classes that are not known yet."""
         restored = {class_name: seconds for class_name, seconds in by_class.items() if seconds > 0}
         self.by_class = {**restored, **self.by_class}
--- a/shelfhaven/server/load_reporter.py
+++ b/shelfhaven/server/load_reporter.py
@@ -14,7 +14,7 @@
 
 from shelfhaven.config import Address
 from shelfhaven.protocol import members
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 from shelfhaven.server import messages
 from shelfhaven.server.log import Log
 from shelfhaven.server.mailbox import Mailbox
@@ -58,7 +58,7 @@
         self.socket.close()
 
     def _schedule_first(self) -> None:
-        delay = REPORT_INTERVAL * spread(self.name, "report")
+        delay = REPORT_INTERVAL * hash_fraction(self.name, "report")
         self.timer = asyncio.get_running_loop().call_later(delay, self._report)
 
     def _set_status(self, status: messages.ReportStatus) -> None:
--- a/tests/membership/test_poll_schedule.py
+++ b/tests/membership/test_poll_schedule.py
@@ -7,7 +7,7 @@
 import pytest
 
 from shelfhaven.membership.poll_schedule import Backoff, TokenBucket, next_slot
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 
 def test_slots_spread_a_fleet_evenly_and_each_comes_once_a_window() -> None:
@@ -24,7 +24,7 @@
     for later in (1000.5, 1013.0, first - 0.001, first):
         assert next_slot("n1", "listing", later, 60.0) == first
     assert next_slot("n1", "listing", first + 0.001, 60.0) == first + 60.0
-    assert spread("n1", "a") != spread("n1", "b")
+    assert hash_fraction("n1", "a") != hash_fraction("n1", "b")
 
 
 def test_a_bucket_fills_at_the_nodes_part_and_saves_little() -> None:
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from shelfhaven.routing.attempts import AttemptResult, result_of
+from shelfhaven.routing.attempts import AttemptResult, classify_response
 
 
 @pytest.mark.parametrize(
@@ -27,4 +27,4 @@
 def test_response_status_determines_the_attempt_result(
     status: int, not_run: bool, result: AttemptResult
 ) -> None:
-    assert result_of(status, not_run) is result
+    assert classify_response(status, not_run) is result
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -100,7 +100,7 @@
 def test_backend_that_answers_some_attempts_is_not_unresponsive() -> None:
     pool = make_pool(2)
     backend = pool.backends["s0"]
-    pool.latencies.recall({"c": 0.1})
+    pool.latencies.restore({"c": 0.1})
     for attempt in (1, 2, 3):
         pool.begin_attempt(0.0, backend, attempt, "c")
     pool.end_attempt(0.5, 3, AttemptSignal.SUCCESS)
@@ -113,7 +113,7 @@
 def test_backend_is_unresponsive_only_above_a_multiple_of_the_ejection_ratio() -> None:
     pool = make_pool(2, ejection_latency_ratio=4.0)
     backend = pool.backends["s0"]
-    pool.latencies.recall({"c": 0.125})
+    pool.latencies.restore({"c": 0.125})
     for attempt in (1, 2):
         pool.begin_attempt(0.0, backend, attempt, "c")
     pool.outlier_detector.update_states(1.0)  # 8 typical latencies, twice the ratio
@@ -185,7 +185,7 @@
 ) -> None:
     pool = make_pool(2)
     backend = pool.backends["s0"]
-    pool.latencies.recall({"c": 0.1})
+    pool.latencies.restore({"c": 0.1})
     pool.outlier_detector.force_ejection(0.0, backend, "test")
     started_at = backend.ejected_until
     assert pool.pick(started_at) is backend
--- a/tests/routing/test_run_router.py
+++ b/tests/routing/test_run_router.py
@@ -246,4 +246,4 @@
         ]
         assert (end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED)) == (not ran)
         assert (end.outcome is Outcome.OK) == (AttemptResult.SERVED in ran)
-    assert not harness.router.pool.by_attempt
+    assert not harness.router.pool.backend_by_attempt
--- a/tests/routing/test_typical_latency.py
+++ b/tests/routing/test_typical_latency.py
@@ -38,5 +38,5 @@
 def test_restored_latencies_do_not_override_measured_ones() -> None:
     latencies = TypicalLatencies()
     latencies.relative("measured", 0.5)
-    latencies.recall({"measured": 9.0, "new": 0.1, "none": 0.0})
+    latencies.restore({"measured": 9.0, "new": 0.1, "none": 0.0})
     assert latencies.by_class == {"measured": 0.5, "new": 0.1}
--- a/tests/state/test_saved_estimates.py
+++ b/tests/state/test_saved_estimates.py
@@ -56,5 +56,5 @@
     assert controller.estimates().run_means[1] == initial.run_means[1]
     pool = Pool(PoolSettings(), ["s"], 0.0, Random(1))
     pool.latencies.by_class["seen"] = 0.5
-    pool.latencies.recall({"seen": 9.0, "new": 0.1, "none": 0.0})
+    pool.latencies.restore({"seen": 9.0, "new": 0.1, "none": 0.0})
     assert pool.latencies.by_class == {"seen": 0.5, "new": 0.1}
