--- a/shelfhaven/routing/adaptive_limit.py
+++ b/shelfhaven/routing/adaptive_limit.py
@@ -63,7 +63,7 @@
     measurement_responses_left: int = 0
 
     @property
-    def allowed(self) -> float:
+    def max_in_flight(self) -> float:
         """Requests that may be in flight now; lower than the limit during a measurement."""
         if self.measurement_samples_left:
             return max(self.min_value, LIGHT_LOAD_FRACTION * self.value)
--- a/shelfhaven/routing/pool.py
+++ b/shelfhaven/routing/pool.py
@@ -306,7 +306,7 @@
         return max(now, min(times, default=math.inf))
 
     def _effective_limit(self, now: float, backend: Backend) -> float:
-        return max(1.0, backend.limit.allowed * self.slow_start_fraction(now, backend))
+        return max(1.0, backend.limit.max_in_flight * self.slow_start_fraction(now, backend))
 
     def _has_capacity(self, now: float, backend: Backend) -> bool:
         return backend.is_active and len(backend.in_flight) < int(self._effective_limit(now, backend))
--- a/tests/routing/test_adaptive_limit.py
+++ b/tests/routing/test_adaptive_limit.py
@@ -13,11 +13,11 @@
 def test_limit_grows_at_steady_latency_and_shrinks_when_latency_rises() -> None:
     limit = AdaptiveLimit(4, 1, 64)
     for _ in range(200):
-        limit.record_success(1.0, int(limit.allowed))
+        limit.record_success(1.0, int(limit.max_in_flight))
     grown = limit.value
     assert grown > 12
     for _ in range(200):
-        in_flight = int(limit.allowed)
+        in_flight = int(limit.max_in_flight)
         limit.record_success(1.0 if in_flight <= 4 else 8.0, in_flight)
     assert limit.value < 0.6 * grown
 
@@ -35,7 +35,7 @@
         limit = AdaptiveLimit(initial_limit, 1, 256)
         limit_values = []
         for _ in range(6000):  # under constant load, so that only measurements yield a baseline
-            in_flight = int(limit.allowed)
+            in_flight = int(limit.max_in_flight)
             limit.record_success(max(1.0, in_flight / 4) * random.expovariate(1), in_flight)
             limit_values.append(limit.value)
         assert min(limit_values[2000:]) >= 4
