--- a/shelfhaven/routing/outlier_detection.py
+++ b/shelfhaven/routing/outlier_detection.py
@@ -215,7 +215,7 @@
         """Eject a backend that a peer reports as ejected; its health check then verifies the report."""
         backend.ejected_until = now + duration
         backend.ejections = ejections
-        self.change_state(now, backend, BackendState.EJECTED, "said to be out by a peer")
+        self.change_state(now, backend, BackendState.EJECTED, "reported as ejected by a peer")
 
     def start_recovery(self, now: float, backend: Backend) -> None:
         """Return a backend to use, in slow start."""
