--- a/shelfhaven/election/candidate_ranking.py
+++ b/shelfhaven/election/candidate_ranking.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from shelfhaven.routing.hash_spread import spread
+from shelfhaven.routing.hash_spread import hash_fraction
 
 MAX_LOAD_FACTOR = 1.25  # upper bound of a node's load, relative to its even share of the tasks
 CANDIDATES_MAX = 5  # per task; bounds the nodes that try to acquire it at the same time
@@ -46,7 +46,7 @@
 
 
 def _order_candidates(task: str, nodes: Sequence[str]) -> list[str]:
-    return heapq.nlargest(CANDIDATES_MAX, nodes, key=lambda node: (spread(node, f"duty/{task}"), node))
+    return heapq.nlargest(CANDIDATES_MAX, nodes, key=lambda node: (hash_fraction(node, f"duty/{task}"), node))
 
 
 def rank_candidates(tasks: Mapping[str, str], nodes: Iterable[CandidateNode]) -> dict[str, CandidateRanking]:
@@ -62,7 +62,7 @@
     loads_by_zone: dict[str, Counter[str]] = {}
     tasks_by_zone = Counter(tasks.values())
     rankings: dict[str, CandidateRanking] = {}
-    for task in sorted(tasks, key=lambda task: (spread(task, "duties"), task)):
+    for task in sorted(tasks, key=lambda task: (hash_fraction(task, "duties"), task)):
         zone = tasks[task]
         eligible = nodes_by_zone.get(zone, [])
         if not eligible:
