--- a/shelfhaven/server/__init__.py
+++ b/shelfhaven/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real app server: phases, actors and log around the decision module."""
+"""The server: its actors, request and idempotency key tables, timers and log around the controller."""
--- a/shelfhaven/server/action_execution.py
+++ b/shelfhaven/server/action_execution.py
@@ -1,6 +1,7 @@
-"""Carries out the controller's actions on requests: as messages to runners, downstream and frontends.
+"""Execution of the controller's actions on requests.
 
-An action that does not fit the state of its request, as something crossed it, has no effect.
+An action becomes a message to a runner, the downstream actor or a frontend.  It has no effect if its request
+has meanwhile left the state that the action requires.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 class ActionExecutor:
-    """Executes actions on requests."""
+    """Executes the controller's actions on requests."""
 
     def __init__(self, completion: RequestCompletion, launcher: RunLauncher) -> None:
         self.completion = completion
@@ -47,7 +48,7 @@
         self.clocks = completion.clocks
 
     def execute(self, request: Request, action: RequestAction) -> None:
-        """Execute one action."""
+        """Execute one action on its request."""
         match action:
             case StartRun():
                 self._start_run(request)
@@ -64,7 +65,7 @@
                     self.completion.await_original(request)
             case PlaceCall() | SkipCall():
                 if request.work_state is WorkState.CALL_REQUESTED:
-                    self._settle_call(request, action)
+                    self._resolve_call(request, action)
 
     def _start_run(self, request: Request) -> None:
         if request.work_state is not WorkState.QUEUED:
@@ -74,8 +75,8 @@
         elif not self.keys.record_intent(request):
             self.launcher.launch(request)
 
-    def _settle_call(self, request: Request, action: PlaceCall | SkipCall) -> None:
-        """Place or skip the downstream call that a run waits for."""
+    def _resolve_call(self, request: Request, action: PlaceCall | SkipCall) -> None:
+        """Place or skip the downstream call that the run has requested."""
         attempt_id = request.submission.attempt_id
         if isinstance(action, SkipCall):
             request.resume_run()
--- a/shelfhaven/server/actors.py
+++ b/shelfhaven/server/actors.py
@@ -1,7 +1,6 @@
-"""The actors that the core sends messages to, as it knows them.
+"""Interfaces of the actors that the core sends messages to, and the set of connected actors.
 
-Owns the interfaces alone and the set of connected actors.  No protocol is named here, so that any frontend
-meets any runner through the same core.
+The interfaces are independent of any wire protocol, so every frontend works with every runner.
 """
 
 from __future__ import annotations
@@ -16,10 +15,10 @@
 
 
 class Actor(Protocol[MessageT]):
-    """Something that takes messages and handles them later, one at a time."""
+    """Queues messages and handles them later, one at a time."""
 
     def put(self, message: MessageT) -> None:
-        """Take a message."""
+        """Queue a message."""
 
 
 DownstreamActor: TypeAlias = Actor[messages.PlaceCall | messages.CancelCall]
@@ -28,29 +27,29 @@
 
 
 class KeyStore(Protocol):
-    """Keeps idempotency keys beyond the life of the process."""
+    """Stores idempotency keys so that they outlive the process."""
 
     def find_previous(self, key_digest: bytes, key_ttl: float) -> messages.PreviousKey | None:
-        """A key that a previous incarnation has run, or may have, if it still counts."""
+        """Return the unexpired key of a run that a previous incarnation started or may have started."""
 
     def record_intent(self, request_id: int, key: messages.DurableKey) -> None:
-        """Record that a run is to begin; `IntentRecorded` follows."""
+        """Record that a run is about to start; `IntentRecorded` follows."""
 
     def record_outcome(self, request_id: int, key_digest: bytes, result: bytes | None) -> bool:
-        """Record that a run is over; returns whether `OutcomeRecorded` follows."""
+        """Record that a run has finished; return whether `OutcomeRecorded` follows."""
 
     def discard_intent(self, key_digest: bytes) -> None:
-        """Forget the intent of a run that never began."""
+        """Delete the intent of a run that never started."""
 
     def record_uncertain(self, key: messages.DurableKey) -> None:
-        """Record that a key ran elsewhere, or may have."""
+        """Record that a request with this key may have run elsewhere."""
 
     def fetch_result(self, request_id: int, key_digest: bytes) -> None:
-        """Fetch the result of a run of a previous incarnation; `StoredResultFetched` follows."""
+        """Fetch the result of a previous incarnation's run; `StoredResultFetched` follows."""
 
 
 class ConnectedActors:
-    """The actors of this process; set by `connect` before the first message."""
+    """The actors of this process; `connect` sets them before the first message."""
 
     runners: Sequence[messages.Runner]  # by class index
     gauge_source: messages.Runner
@@ -65,7 +64,7 @@
         membership: MembershipActor,
         frontends: FrontendsActor,
     ) -> None:
-        """Set the actors; `runners` by class index, of which the first samples the gauges."""
+        """Set the actors; `runners` are by class index, and the first one samples the gauges."""
         self.runners = runners
         self.gauge_source = runners[0]
         self.downstream = downstream
@@ -73,5 +72,5 @@
         self.frontends = frontends
 
     def runner_of(self, request: Request) -> messages.Runner:
-        """The runner of a request: its own, or that of its class."""
+        """Return the runner that the request names, or else the runner of its class."""
         return request.submission.runner or self.runners[request.submission.class_index]
--- a/shelfhaven/server/answer_sender.py
+++ b/shelfhaven/server/answer_sender.py
@@ -1,7 +1,6 @@
-"""The one place where answers leave: every request gets exactly one.
+"""Sends answers to the frontends, at most one for each request.
 
-Owns the counters of answers and the advertised load, which goes along with each.  It must not decide what is
-answered.
+It also counts answers by kind and attaches the advertised load to each of them.
 """
 
 from __future__ import annotations
@@ -24,16 +23,16 @@
         self.requests = requests
         self.controller = controller
         self.clocks = clocks
-        self.advertised_load: float | None = None  # None until the controller sets it
-        self.counts: Counter[str] = Counter()  # by kind of answer, since the start
-        self.logged_counts: Counter[str] = Counter()  # of them, when they were last logged
+        self.advertised_load: float | None = None  # set by the controller's first `AdvertiseLoad`
+        self.counts: Counter[str] = Counter()  # answers since the start, by kind
+        self.logged_counts: Counter[str] = Counter()  # the value of `counts` when it was last logged
 
     def serve(self, request: Request, body: bytes) -> None:
-        """Answer with a result."""
+        """Answer with the result of a run."""
         self._send(request, messages.ServedAnswer(request.submission.request_ref, body, self.advertised_load))
 
     def reject(self, request: Request, rejection: RejectRequest) -> None:
-        """Answer that it never ran."""
+        """Answer that the attempt was never executed."""
         answer = messages.RejectedAnswer(
             request.submission.request_ref,
             rejection.retry_after,
@@ -43,18 +42,18 @@
         self._send(request, answer)
 
     def fail(self, request: Request, text: str) -> None:
-        """Answer with an error that promises nothing about the effect."""
+        """Answer with an error; the request may or may not have had its effect."""
         time_left = request.time_left(self.clocks.wall())
-        is_late = time_left <= self.controller.answer_margin + GAUGES_WAIT
+        deadline_passed = time_left <= self.controller.answer_margin + GAUGES_WAIT
         answer = messages.FailedAnswer(
-            request.submission.request_ref, text, self.advertised_load, deadline_passed=is_late
+            request.submission.request_ref, text, self.advertised_load, deadline_passed=deadline_passed
         )
         self._send(request, answer)
 
     def fail_unregistered(
         self, frontend: messages.Frontend, request_ref: int, text: str, code: int | None = None
     ) -> None:
-        """Answer a message that never became a request, with an error."""
+        """Send an error for a message that is not registered in the request table."""
         frontend.answer(messages.FailedAnswer(request_ref, text, self.advertised_load, code))
 
     def report_health(self, check: messages.CheckHealth, healthy: bool) -> None:
@@ -62,7 +61,7 @@
         check.frontend.answer(messages.HealthAnswer(check.request_ref, healthy, self.advertised_load))
 
     def take_unlogged_counts(self) -> Counter[str]:
-        """Answers by kind since this was last asked."""
+        """Return the number of answers by kind since the previous call."""
         unlogged = self.counts - self.logged_counts
         self.logged_counts = Counter(self.counts)
         return unlogged
--- a/shelfhaven/server/core.py
+++ b/shelfhaven/server/core.py
@@ -1,9 +1,9 @@
-"""The core: the actor around the controller, which alone decides.
+"""The actor that drives the controller.
 
-Owns the order of things: each message becomes events, each event goes to `Controller.on_event` one at a time,
-and the actions that it returns are executed before the next event.  It must never decide: time-outs,
-Retry-After, order and health come from the controller.  Whatever the controller or a peer does, every request
-gets exactly one answer.
+The core turns each message into events, passes them to `Controller.on_event` one at a time, and executes the
+returned actions before it passes the next event.  All decisions are the controller's: timeouts, Retry-After,
+the order of runs, and health.  Every request gets exactly one answer unless its caller cancels it, even if
+the controller raises an exception or a peer misbehaves.
 """
 
 from __future__ import annotations
@@ -42,11 +42,17 @@
 from shelfhaven.server.timers import GAUGES_WAIT, Timers
 
 INTERNAL_ERROR_TEXT = "an error in this server"
-TIMER_RETRY_DELAY = 0.1  # seconds after which a timer that the controller failed on comes again
+TIMER_RETRY_DELAY = 0.1  # seconds until a timer fires again after the controller raised an exception on it
 
 
 class Core:
-    """Actor of the controller."""
+    """Actor that drives the controller.
+
+    Attributes:
+        pending_events: events that the controller takes after the actions of the current event.
+        actors: the other actors, which the program connects before the first message.
+        ready: whether this node accepts work; components add their own conditions.
+    """
 
     def __init__(
         self,
@@ -58,19 +64,26 @@
         self.config = config
         self.log = log
         self.clocks = Clocks(clock, wall)
-        # timers wait for gauges at most that long: the controller makes its margins from the tick
+        # The controller derives its margins from the tick; due timers wait up to `GAUGES_WAIT` for gauges.
         settings = replace(config.settings, tick=max(config.settings.tick, GAUGES_WAIT))
         self.controller = Controller(settings, config.seed)
         self.mailbox: Mailbox[messages.CoreMessage] = Mailbox(self._handle, log)
-        self.events: deque[Event] = deque()  # for the controller, after the actions in hand
-        self.actors = ConnectedActors()  # which the program connects before the first message
+        self.pending_events: deque[Event] = deque()
+        self.actors = ConnectedActors()
         self.requests = RequestTable()
-        self.timers = Timers(self.clocks, self.requests, self.actors, self.events.append, self._settle)
+        self.timers = Timers(
+            self.clocks, self.requests, self.actors, self.pending_events.append, self._process_events
+        )
         next_request_id = itertools.count(1).__next__
         self.keys = IdempotencyKeys(config, self.clocks, self.requests, next_request_id)
-        self.answers = AnswerSender(self.requests, self.controller, self.clocks)
+        self.answer_sender = AnswerSender(self.requests, self.controller, self.clocks)
         self.completion = RequestCompletion(
-            self.requests, self.keys, self.answers, self.actors, self.clocks, self.events.append
+            self.requests,
+            self.keys,
+            self.answer_sender,
+            self.actors,
+            self.clocks,
+            self.pending_events.append,
         )
         launcher = RunLauncher(config, self.keys, self.actors, self.clocks)
         self.translator = EventTranslator(config, self.completion, launcher, next_request_id)
@@ -78,47 +91,52 @@
         self.started = False
         self.draining = False
         self.healthy = True
-        self.ready: Callable[[], bool] = lambda: True  # whether this node wants work at all yet
+        self.ready: Callable[[], bool] = lambda: True
 
     def put(self, message: messages.CoreMessage) -> None:
-        """Take a message."""
+        """Add a message to the mailbox."""
         self.mailbox.put(message)
 
     @property
     def answer_counts(self) -> Counter[str]:
-        """Answers by kind, since the start."""
-        return self.answers.counts
+        """Number of answers sent since the start, by kind."""
+        return self.answer_sender.counts
 
     def running_count(self) -> int:
-        """Requests whose runs have begun and are not over."""
+        """Number of requests whose runs have started and not finished."""
         return len(self.requests.all_started())
 
     def load_now(self) -> dict[str, object]:
-        """Fields of the log: requests by state, answers since the last call, and the controller's view."""
+        """Return the core's fields of the periodic log line.
+
+        These are the requests by state, the answers since the previous call, and the controller's estimates.
+        """
         return {
             **self.requests.count_by_state(),
-            **self.answers.take_unlogged_counts(),
-            **estimates_load(self.controller.status(), self.answers.advertised_load),
+            **self.answer_sender.take_unlogged_counts(),
+            **estimates_load(self.controller.status(), self.answer_sender.advertised_load),
             **key_table_load(self.keys.table),
         }
 
     # Messages
 
     def _handle(self, message: messages.CoreMessage) -> None:
-        """Handle one message; an error in it costs no answer, and its events are taken all the same."""
+        """Handle one message; if that raises an exception, a submitted request is still answered."""
         try:
             self._dispatch(message)
         except Exception:
             self.log.exception("message_failed")
             if isinstance(message, messages.SubmitRequest):
                 self._fail_submission(message)
-        self._settle()
+        self._process_events()
 
     def _fail_submission(self, submission: messages.SubmitRequest) -> None:
-        """Answer a request that an error kept from being taken in."""
-        request = self.requests.awaiting_answer(submission.frontend, submission.request_ref)
+        """Answer a request whose submission raised an exception."""
+        request = self.requests.get_unanswered(submission.frontend, submission.request_ref)
         if request is None:
-            self.answers.fail_unregistered(submission.frontend, submission.request_ref, INTERNAL_ERROR_TEXT)
+            self.answer_sender.fail_unregistered(
+                submission.frontend, submission.request_ref, INTERNAL_ERROR_TEXT
+            )
             return
         self.completion.give_up(request, INTERNAL_ERROR_TEXT)
         self.requests.forget_if_done(request)
@@ -126,11 +144,11 @@
     def _dispatch(self, message: messages.CoreMessage) -> None:
         match message:
             case messages.RejectMalformed():
-                self.answers.fail_unregistered(
+                self.answer_sender.fail_unregistered(
                     message.frontend, message.request_ref, message.text, message.code
                 )
             case messages.CheckHealth():
-                self.answers.report_health(message, self.healthy and self.ready())
+                self.answer_sender.report_health(message, self.healthy and self.ready())
             case messages.GaugesSampled():
                 self.timers.on_gauges(message)
             case messages.RunnerConnected():
@@ -146,24 +164,24 @@
                 self.translator.translate(message)
 
     def _start(self) -> None:
-        """Start the controller with the first runner or request."""
+        """Start the controller when the first runner connects or the first request arrives."""
         if not self.started:
             self.started = True
             self.log.event("module_started", cold=self.config.settings.starts_cold)
-            self.events.append(ServerStarted())
+            self.pending_events.append(ServerStarted())
 
     def _begin_drain(self, drain: messages.BeginDrain) -> None:
         self.draining = True
         self.actors.membership.put(messages.ReportStatus(False))
         self._start()
-        self.events.append(DrainStarted(drain.time_left))
+        self.pending_events.append(DrainStarted(drain.time_left))
 
     # The controller
 
-    def _settle(self) -> None:
-        """Give the controller its events, one at a time, until none is left."""
-        while self.events:
-            event = self.events.popleft()
+    def _process_events(self) -> None:
+        """Pass pending events to the controller, one at a time, and execute its actions."""
+        while self.pending_events:
+            event = self.pending_events.popleft()
             for action in self._actions_for(event):
                 try:
                     self._execute(action)
@@ -176,7 +194,10 @@
         self.timers.update_alarm()
 
     def _actions_for(self, event: Event) -> list[Action]:
-        """The controller's actions on an event; that it fails on one costs no answer and no timer."""
+        """Return the controller's actions for an event.
+
+        If the controller raises an exception, a timer is set again and a request is answered with an error.
+        """
         now = self.clocks.advance()
         try:
             return self.controller.on_event(now, event)
@@ -189,7 +210,7 @@
         return []
 
     def _request_of(self, event: Event) -> Request | None:
-        """The request that an event is about, if it is about one that is still in hand."""
+        """Return the request that an event concerns, or None if there is none or it has been forgotten."""
         if isinstance(event, ServerStarted | DrainStarted | TimerFired):
             return None
         return self.requests.get(event.request_id)
@@ -203,7 +224,7 @@
             case SetHealth():
                 self._set_health(action.healthy)
             case AdvertiseLoad():
-                self.answers.advertised_load = action.value
+                self.answer_sender.advertised_load = action.value
             case SetIdleTimeout():
                 self.actors.frontends.put(messages.SetIdleTimeout(action.timeout))
             case StopRun():
--- a/shelfhaven/server/core_load.py
+++ b/shelfhaven/server/core_load.py
@@ -1,6 +1,6 @@
-"""Fields of the periodic log line that the core contributes.
+"""The core's fields of the periodic log line.
 
-The names are read by operators' tools and stay as they are.
+Operators' tools read these field names, so they must not change.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EstimatesLoad(TypedDict):
-    """What the controller believes."""
+    """The controller's estimates."""
 
     share: float
     wait: float
@@ -33,7 +33,7 @@
 
 
 def estimates_load(status: ControllerStatus, advertised_load: float | None) -> EstimatesLoad:
-    """The controller's estimates, and the load level that goes out with answers."""
+    """Return the controller's estimates and the load value that answers advertise."""
     return {
         "share": round(status.admitted_share, 3),
         "wait": round(status.relative_queue_wait, 3),
@@ -48,5 +48,5 @@
 
 
 def key_table_load(table: KeyTable) -> KeyTableLoad:
-    """The number of keys, and of results that are kept for them."""
+    """Return the number of keys and the number of results stored for them."""
     return {"keys": len(table), "results": len(table.results)}
--- a/shelfhaven/server/event_translation.py
+++ b/shelfhaven/server/event_translation.py
@@ -1,7 +1,7 @@
-"""Translates messages about requests into events for the controller.
+"""Translation of messages about requests into events for the controller.
 
-Owns the way from what frontends, runners, downstream calls and the key store say to what the controller is
-told.  It must not decide: times, order and answers for load are the controller's.
+Messages come from frontends, runners, the downstream actor and the key store.  Decisions about timing, order
+and rejection for load are left to the controller.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from shelfhaven.server.request_completion import RequestCompletion
 from shelfhaven.server.run_launcher import RunLauncher
 
-MIN_TIME_LEFT = 1e-6  # seconds; the controller takes 0 for "not told"
+MIN_TIME_LEFT = 1e-6  # seconds; the controller takes 0 to mean that no time was given
 
 RequestMessage: TypeAlias = (
     messages.SubmitRequest
@@ -33,12 +33,12 @@
 
 
 def _remaining(period: float | None, age: float) -> float | None:
-    """What is left of a period that began `age` seconds ago; None if there is no such period."""
+    """Return the rest of a period that began `age` seconds ago, or None if no period is given."""
     return None if period is None else max(MIN_TIME_LEFT, period - age)
 
 
 class EventTranslator:
-    """Takes messages about requests and emits events."""
+    """Applies messages to their requests and emits events for the controller."""
 
     def __init__(
         self,
@@ -53,33 +53,33 @@
         self.next_request_id = next_request_id
         self.requests = completion.requests
         self.keys = completion.keys
-        self.answers = completion.answers
+        self.answer_sender = completion.answer_sender
         self.actors: ConnectedActors = completion.actors
         self.clocks: Clocks = completion.clocks
         self.emit: Callable[[Event], None] = completion.emit
 
     def translate(self, message: RequestMessage) -> None:
-        """Take one message."""
+        """Apply one message and emit the events that follow from it."""
         match message:
             case messages.SubmitRequest():
                 self._submit(message)
             case messages.CancelRequest():
                 self._cancel(message)
             case messages.RunCompleted():
-                if request := self.requests.started(message.attempt_id):
+                if request := self.requests.get_started(message.attempt_id):
                     self.completion.complete_run(request, message)
             case messages.CallRequested():
                 self._request_call(message)
             case messages.RunsLost():
-                self._lose_runs(message.runner)
+                self._fail_lost_runs(message.runner)
             case messages.CallCompleted():
                 self._complete_call(message)
             case _:
-                self._take_store_reply(message)
+                self._handle_store_reply(message)
 
     def _submit(self, submission: messages.SubmitRequest) -> None:
         if self.requests.contains_attempt(submission):
-            self.answers.fail_unregistered(
+            self.answer_sender.fail_unregistered(
                 submission.frontend, submission.request_ref, "this try is in hand already"
             )
             return
@@ -94,7 +94,7 @@
         self.emit(self._arrival(request, age))
 
     def _arrival(self, request: Request, age: float) -> RequestArrived:
-        """The event of a request that reached the machine `age` seconds ago."""
+        """Return the arrival event of a request that reached this machine `age` seconds ago."""
         submission = request.submission
         return RequestArrived(
             request_id=request.id,
@@ -113,7 +113,7 @@
         )
 
     def _cancel(self, cancel: messages.CancelRequest) -> None:
-        request = self.requests.awaiting_answer(cancel.frontend, cancel.request_ref)
+        request = self.requests.get_unanswered(cancel.frontend, cancel.request_ref)
         if request is None:
             return
         self.requests.remove_unanswered(request)
@@ -123,10 +123,10 @@
         self.emit(RequestCancelled(request.id))
 
     def _request_call(self, requested: messages.CallRequested) -> None:
-        request = self.requests.started(requested.attempt_id)
+        request = self.requests.get_started(requested.attempt_id)
         if request is None:
             return
-        self.completion.cancel_call(request)  # the run waits for another by now
+        self.completion.cancel_call(request)  # superseded by the new call
         request.request_call(requested.call_number, requested.body)
         self.emit(CallNeeded(request.id))
 
@@ -143,13 +143,13 @@
         duration = self.clocks.monotonic() - request.wait_started_at
         self.emit(CallFinished(request.id, completed.outcome, duration))
 
-    def _lose_runs(self, runner: messages.Runner) -> None:
+    def _fail_lost_runs(self, runner: messages.Runner) -> None:
         for request in self.requests.all_started():
             if self.actors.runner_of(request) is runner:
                 lost = messages.RunCompleted(request.submission.attempt_id, Outcome.ERROR, 0.0)
                 self.completion.complete_run(request, lost)
 
-    def _take_store_reply(self, reply: messages.StoreReply) -> None:
+    def _handle_store_reply(self, reply: messages.StoreReply) -> None:
         request = self.requests.get(reply.request_id)
         if request is None:
             return
@@ -168,7 +168,7 @@
         if reply.recorded and request.time_left(self.clocks.wall()) > 0:
             self.launcher.launch(request)
             return
-        # not in time, or the key might not outlive this process: it never begins
+        # The due time has passed, or the intent is not durable and the key might be lost with the process.
         rejected = messages.RunCompleted(
             request.submission.attempt_id,
             Outcome.REJECTED,
--- a/shelfhaven/server/messages.py
+++ b/shelfhaven/server/messages.py
@@ -1,8 +1,9 @@
-"""Messages between actors: small typed values that name no protocol.
+"""Messages between actors.
 
-Owns the types alone, so that any frontend meets any runner through the same core.  No logic here.  Durations
-are seconds; a value that was not given is None.  The sections follow a request on its way: from a frontend to
-the core, from the core to a runner and back, to downstream calls and the key store, and the answer.
+This module defines data types and interfaces only, and they are independent of any wire protocol, so every
+frontend works with every runner.  Durations are in seconds; an optional value is None if it was not given.
+The sections are: answers, requests from frontends, commands to runners and their events, downstream calls,
+the key store, and the server as a whole.
 """
 
 from __future__ import annotations
@@ -12,36 +13,36 @@
 
 from shelfhaven.decision.settings import Outcome
 
-# Answers: the core to a frontend
+# Answers, from the core to a frontend
 
 
 @dataclass(frozen=True, slots=True)
 class ServedAnswer:
     """The result of a run."""
 
-    request_ref: int  # the frontend's name for the request, in all answers
+    request_ref: int  # the frontend's reference of the request, as in every answer
     body: bytes
-    load: float | None  # the load advertisement, in all answers
+    load: float | None  # the advertised load, as in every answer
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedAnswer:
-    """This attempt never ran."""
+    """The attempt was never executed."""
 
     request_ref: int
-    retry_after: float  # seconds; 0: at once
-    no_retry_elsewhere: bool  # a retry on another server would be of no use
+    retry_after: float  # seconds; 0 allows an immediate retry
+    no_retry_elsewhere: bool  # a retry on another server would not help
     load: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAnswer:
-    """An error that promises nothing about the effect."""
+    """An error; the request may or may not have had its effect."""
 
     request_ref: int
     text: str
     load: float | None
-    code: int | None = None  # the frontend's own, for a message that it could not read
+    code: int | None = None  # an error code of the frontend's protocol, for a malformed message
     deadline_passed: bool = False
 
 
@@ -60,31 +61,35 @@
     RejectedAnswer: "refused",
     FailedAnswer: "failed",
     HealthAnswer: "healthy",
-}  # names of the counters in the log
+}  # the names of the counters in the log
 
 
 class Frontend(Protocol):
-    """Where a request came from."""
+    """Submits requests and receives their answers."""
 
     def answer(self, answer: Answer) -> None:
-        """Take one answer."""
+        """Send one answer to the caller."""
 
 
-# Requests: a frontend to the core
+# Requests, from a frontend to the core
 
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
-    """How a request was made, where its frontend knows: what a runner passes on beside the body."""
+    """HTTP properties of a request, if its frontend knows them; a runner passes them on with the body.
+
+    Attributes:
+        extra_variables: names and values of the variables that the operator lists.
+        identity_parts: what identifies the request beside its class and body, which is the variable parts of
+            the path and the query; empty if requests of this class have neither.
+    """
 
     method: str
     path: str
     query: str
     content_type: str
-    extra_variables: tuple[tuple[str, str], ...] = ()  # name and value, as the operator lists them
+    extra_variables: tuple[tuple[str, str], ...] = ()
     identity_parts: tuple[str, ...] = ()
-    """What path and query add to the body in saying what is asked for: the path's variable parts and the
-    query, empty where a request of the same class needs neither."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,53 +97,53 @@
     """One attempt of a request."""
 
     frontend: Frontend
-    request_ref: int  # the frontend's name for it
-    attempt_id: str  # the name by which runners know it
+    request_ref: int  # the frontend's reference, which its answer repeats
+    attempt_id: str  # identifies the attempt to runners
     class_index: int
     tenant: int  # index in the configuration
     caller: int
-    received_at: float  # Unix time at which it reached the machine
-    budget: float | None  # seconds that its caller waits, from `received_at`
+    received_at: float  # Unix time at which the request reached this machine
+    budget: float | None  # seconds from `received_at` that the caller waits
     work_hint: float | None  # seconds of work that the caller expects
-    footprint_kb: float  # memory that its run takes
-    priority: float  # from 0 to under 1, as its caller says
+    footprint_kb: float  # memory that the run needs
+    priority: float  # set by the caller, at least 0 and less than 1
     is_retry: bool
-    idempotency_key: str  # empty without one
-    partition_key: int  # of the data that it concerns; 0 without one
+    idempotency_key: str  # empty if there is none
+    partition_key: int  # of the data that the request concerns; 0 if there is none
     body: bytes
     attributes: RequestAttributes | None = None
-    start_within: float | None = None  # seconds from `received_at` in which its run must begin
-    runner: Runner | None = None  # None: the runner of its class
+    start_within: float | None = None  # seconds from `received_at` within which the run must start
+    runner: Runner | None = None  # None stands for the runner of the class
 
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """Nobody waits for that request any more."""
+    """The caller no longer waits for the request."""
 
     frontend: Frontend
     request_ref: int
-    may_run: bool = False  # it may be run all the same, by somebody else
+    may_run: bool = False  # the caller may still have the request run elsewhere
 
 
 @dataclass(frozen=True, slots=True)
 class RejectMalformed:
-    """A message that could not be read is to be answered with an error."""
+    """Answer a malformed message with an error."""
 
     frontend: Frontend
     request_ref: int
-    code: int  # of the frontend's protocol
+    code: int  # an error code of the frontend's protocol
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """A health check."""
+    """Answer a health check."""
 
     frontend: Frontend
     request_ref: int
 
 
-# Commands: the core to a runner
+# Commands, from the core to a runner
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,15 +154,15 @@
     class_name: str
     body: bytes
     time_left: float = 0.0  # seconds until the answer is due
-    idempotent: bool = False  # whether it may run twice
-    idempotency_key: str = ""  # for a runner that passes it on; empty without one
+    idempotent: bool = False  # may run twice without harm
+    idempotency_key: str = ""  # for runners that pass it on; empty if there is none
     attributes: RequestAttributes | None = None
-    key_digest: bytes = b""  # the key's name in the whole fleet, where runners reserve keys; empty elsewhere
+    key_digest: bytes = b""  # of the key, if the runner has to reserve it in the fleet; empty otherwise
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverCallReply:
-    """Hand a run the reply to its downstream call."""
+    """Deliver the reply to its downstream call to a run."""
 
     attempt_id: str
     body: bytes
@@ -165,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProceedWithoutCall:
-    """Let a run go on without the downstream call that it asked for."""
+    """Continue a run without the downstream call that it requested."""
 
     attempt_id: str
     call_number: int  # as in `CallRequested`
@@ -173,77 +178,77 @@
 
 @dataclass(frozen=True, slots=True)
 class SampleGauges:
-    """Ask for the gauges."""
+    """Request a sample of the gauges."""
 
-    tag: str  # comes back with them
+    tag: str  # repeated in `GaugesSampled`
 
 
 RunnerCommand: TypeAlias = LaunchRun | DeliverCallReply | ProceedWithoutCall
 
 
 class Runner(Protocol):
-    """Who runs requests, as the core knows it.
+    """Executes requests.
 
-    Each launch ends in one `RunCompleted`, or in `RunsLost`; the core never repeats a launch.  What became of
-    a run after a broken connection is for the runner to find out: it reports `REJECTED`, `ABANDONED` or
-    `CONNECT_FAILED` only if the run never began.
+    Each launch ends with one `RunCompleted` or with `RunsLost`; the core never repeats a launch.  After a
+    broken connection, the runner itself has to find out what became of its runs.  It reports the outcomes
+    `REJECTED`, `ABANDONED` and `CONNECT_FAILED` only for a run that never started.
     """
 
     @property
     def up(self) -> bool:
-        """Whether a sample would be answered just now."""
+        """Whether the runner can answer `SampleGauges` at present."""
 
     def put(self, message: RunnerCommand | SampleGauges) -> None:
-        """Take a command."""
+        """Queue a command."""
 
 
-# Events: a runner to the core
+# Events, from a runner to the core
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerConnected:
-    """A runner takes work."""
+    """A runner is connected and accepts work."""
 
-    loaded: bool  # whether it is warmed up, as it says itself
+    loaded: bool  # the runner reports that it is warmed up
     uptime: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class RunCompleted:
-    """A run is over."""
+    """A run has finished."""
 
     attempt_id: str
     outcome: Outcome
     duration: float  # seconds
-    body: bytes | None = b""  # the result of a run that went well; None if it is not known
-    retry_after: float | None = None  # seconds, if something other than load kept it from beginning
+    body: bytes | None = b""  # the result of a successful run; None if it is unknown
+    retry_after: float | None = None  # seconds; given if something other than load kept the run from starting
 
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run waits for a downstream call."""
+    """A run requests a downstream call and waits for its reply."""
 
     attempt_id: str
-    call_number: int  # the runner's name for the call
+    call_number: int  # the runner's number of the call
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class GaugesSampled:
-    """The gauges."""
+    """A sample of the gauges."""
 
     tag: str  # as in `SampleGauges`
-    values: tuple[float, ...]  # in the order of the settings
+    values: tuple[float, ...]  # in the order of `Settings.gauges`
 
 
 @dataclass(frozen=True, slots=True)
 class RunnerDisconnected:
-    """The connection to a runner broke; its runs go on."""
+    """The connection to a runner broke; its runs continue."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunsLost:
-    """A runner started anew: the runs that it had are gone."""
+    """A runner restarted and lost its runs."""
 
     runner: Runner
 
@@ -262,20 +267,20 @@
 
     request_id: int
     attempt_id: str
-    timeout: float  # seconds after which it is given up
+    timeout: float  # seconds
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CancelCall:
-    """Give a downstream call up; nothing is to be reported of it any more."""
+    """Cancel a downstream call; no `CallCompleted` follows."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """A downstream call is over."""
+    """A downstream call has finished."""
 
     request_id: int
     outcome: Outcome
@@ -287,45 +292,45 @@
 
 @dataclass(frozen=True, slots=True)
 class DurableKey:
-    """The key of a request as it is recorded."""
+    """The idempotency key of a request, as the key store records it."""
 
-    digest: bytes  # its name in the whole fleet
+    digest: bytes  # identifies the key in the whole fleet
     class_name: str
-    tenant: str  # name
+    tenant: str  # the tenant's name
     idempotency_key: str
-    time_left: float  # seconds for which it counts
+    time_left: float  # seconds until the key expires
 
 
 @dataclass(frozen=True, slots=True)
 class PreviousKey:
-    """A key that a previous incarnation has run, or may have."""
+    """The key of a run that a previous incarnation started or may have started."""
 
-    valid_for: float  # seconds for which it counts
-    is_recorded: bool  # the outcome of its run can be fetched
+    valid_for: float  # seconds until the key expires
+    is_recorded: bool  # the key is in the store, so the result of its run can be fetched
 
 
 @dataclass(frozen=True, slots=True)
 class IntentRecorded:
-    """Whether a keyed run may begin, as the intent is recorded."""
+    """The reply to `KeyStore.record_intent`: whether the run may start."""
 
     request_id: int
-    recorded: bool
-    retry_after: float | None = None  # seconds, if it may not begin
+    recorded: bool  # also True if the store is set to admit runs without its disk
+    retry_after: float | None = None  # seconds; given if the intent is not recorded
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The outcome of a run is recorded, or has waited for that as long as it may."""
+    """The outcome of a run is recorded, or could not be recorded within the time limit."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class StoredResultFetched:
-    """The result of a run of a previous incarnation."""
+    """The reply to `KeyStore.fetch_result`."""
 
     request_id: int
-    result: bytes | None  # None: it is not known
+    result: bytes | None  # None if it is unknown
 
 
 StoreReply: TypeAlias = IntentRecorded | OutcomeRecorded | StoredResultFetched
@@ -336,23 +341,23 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """Begin the graceful shutdown."""
+    """Begin to drain the server."""
 
-    time_left: float  # seconds until the process ends
+    time_left: float  # seconds until the process exits
 
 
 @dataclass(frozen=True, slots=True)
 class SetIdleTimeout:
-    """How long a frontend's connections may stay without a request."""
+    """Set how long the connections of frontends may be idle."""
 
-    timeout: float | None  # seconds; None: as long as their callers like
+    timeout: float | None  # seconds; None sets no limit
 
 
 @dataclass(frozen=True, slots=True)
 class ReportStatus:
-    """What the membership service is to be told."""
+    """Report to the membership service whether this server accepts work."""
 
-    accepting: bool  # whether the server takes work
+    accepting: bool
 
 
 CoreMessage: TypeAlias = (
--- a/shelfhaven/server/run_launcher.py
+++ b/shelfhaven/server/run_launcher.py
@@ -1,4 +1,4 @@
-"""Hands requests to the runners that run them."""
+"""Starts the runs of requests on their runners."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RunLauncher:
-    """Launches runs; a request is launched once at most."""
+    """Launches runs; callers launch each request at most once."""
 
     def __init__(
         self, config: Config, keys: IdempotencyKeys, actors: ConnectedActors, clocks: Clocks
@@ -23,7 +23,7 @@
         self.clocks = clocks
 
     def launch(self, request: Request) -> None:
-        """Hand a request to its runner."""
+        """Send the launch command of a request to its runner."""
         request.launch()
         submission = request.submission
         command = messages.LaunchRun(
--- a/tests/server/core_bench.py
+++ b/tests/server/core_bench.py
@@ -1,4 +1,4 @@
-"""A core with stand-ins for all its actors and clocks moved by hand."""
+"""Test harness of the core: all other actors are stubs, and the test advances the clocks."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from shelfhaven.server.log import Log
 from tests.test_config import CONFIG
 
-LOOK, PAY = 0, 1
-NULL = os.open(os.devnull, os.O_WRONLY)
+LOOK, PAY = 0, 1  # class indices in `CONFIG`: idempotent, and with an idempotency key
+DEV_NULL = os.open(os.devnull, os.O_WRONLY)
 
 
 @dataclass
 class Sink:
-    """An actor, or a frontend, that records what it receives."""
+    """Stub of an actor or a frontend that records the messages that it receives."""
 
     received: list[Any] = field(default_factory=list)
     up: bool = True
@@ -37,20 +37,24 @@
     def answer(self, answer: messages.Answer) -> None:
         self.received.append(answer)
 
-    def of(self, kind: type) -> list[Any]:
-        return [message for message in self.received if isinstance(message, kind)]
+    def of(self, message_type: type) -> list[Any]:
+        return [message for message in self.received if isinstance(message, message_type)]
 
 
-class Bench:
-    """A core with its surroundings; `now` moves the clocks."""
+class CoreHarness:
+    """A core whose other actors are stubs.
 
-    def __init__(self, **changes: Any) -> None:
+    Attributes:
+        now: the time on the monotonic clock; the wall clock is 5000 seconds ahead of it.
+    """
+
+    def __init__(self, **domain_settings: Any) -> None:
         data = copy.deepcopy(CONFIG)
-        data["settings"]["domain"].update(changes)
+        data["settings"]["domain"].update(domain_settings)
         self.now = 1000.0
         self.core = Core(
             config.parse_json(orjson.dumps(data)),
-            Log("test", NULL),
+            Log("test", DEV_NULL),
             clock=lambda: self.now,
             wall=lambda: 5000.0 + self.now,
         )
@@ -58,33 +62,44 @@
             Sink() for _ in range(5)
         )
         self.core.actors.connect([self.runner] * 2, self.downstream, self.membership, self.frontends)
-        self.tell(messages.RunnerConnected(True, 0.0))
+        self.send(messages.RunnerConnected(True, 0.0))
 
-    def tell(self, message: messages.CoreMessage) -> None:
+    def send(self, message: messages.CoreMessage) -> None:
         self.core._handle(message)
 
     def submit(
-        self, ref: int, cls: int = LOOK, idempotency_key: str = "", attempt_id: str = "", **more: Any
+        self,
+        request_ref: int,
+        class_index: int = LOOK,
+        idempotency_key: str = "",
+        attempt_id: str = "",
+        **changes: Any,
     ) -> str:
-        attempt_id = attempt_id or f"{ref:016x}"
+        """Submit a request and return its attempt id, which is made from the reference if none is given."""
+        attempt_id = attempt_id or f"{request_ref:016x}"
         fields: dict[str, Any] = {
-            "frontend": self.frontend, "request_ref": ref, "attempt_id": attempt_id, "class_index": cls,
+            "frontend": self.frontend, "request_ref": request_ref, "attempt_id": attempt_id,
+            "class_index": class_index,
             "tenant": 0, "caller": 1, "received_at": 5000.0 + self.now, "budget": None, "work_hint": None,
             "footprint_kb": 10.0, "priority": 0.0,
             "is_retry": False, "idempotency_key": idempotency_key, "partition_key": 0, "body": b"body",
         }  # fmt: skip
-        self.tell(messages.SubmitRequest(**(fields | more)))
+        self.send(messages.SubmitRequest(**(fields | changes)))
         return attempt_id
 
-    def end(self, attempt_id: str, end: str = "PASS", body: bytes = b"result") -> None:
-        self.tell(
+    def finish_run(self, attempt_id: str, agent_outcome: str = "PASS", body: bytes = b"result") -> None:
+        """Finish a run with an outcome as the render farm agent reports it."""
+        self.send(
             messages.RunCompleted(
-                attempt_id, OUTCOMES.get(end, Outcome.ERROR), 0.1, body if end == "PASS" else b""
+                attempt_id,
+                OUTCOMES.get(agent_outcome, Outcome.ERROR),
+                0.1,
+                body if agent_outcome == "PASS" else b"",
             )
         )
 
-    def pass_time(self, seconds: float) -> None:
-        """Let time pass and fire due timers."""
+    def advance_time(self, seconds: float) -> None:
+        """Advance the clocks and fire the timers that become due."""
         until = self.now + seconds
         timers = self.core.timers
         while (due := timers.next_due()) is not None and due <= until:
@@ -93,29 +108,35 @@
             timers.fire_unless_sampled(timers.awaited_sample)
         self.now = until
 
-    def answers(self, ref: int) -> list[Any]:
-        return [answer for answer in self.frontend.received if answer.request_ref == ref]
+    def answers(self, request_ref: int) -> list[Any]:
+        return [answer for answer in self.frontend.received if answer.request_ref == request_ref]
 
-    def launched(self) -> list[str]:
+    def launched_attempts(self) -> list[str]:
         return [command.attempt_id for command in self.runner.of(messages.LaunchRun)]
 
 
-def run_bench(test: Callable[[Bench], None], **changes: Any) -> None:
-    """Run a test inside a loop: the core sets alarms in it, that never come as no time passes there."""
+def run_with_harness(test: Callable[[CoreHarness], None], **domain_settings: Any) -> None:
+    """Run a test in an event loop, which the core needs for its alarms.
+
+    The test blocks the loop, so no alarm goes off; `CoreHarness.advance_time` fires timers instead.
+    """
 
     async def run() -> None:
-        test(Bench(**changes))
+        test(CoreHarness(**domain_settings))
 
     asyncio.run(run())
 
 
-def with_bench(test: Callable[..., None]) -> Callable[..., None]:
-    """A test of a bench, which it is given first."""
+def with_harness(test: Callable[..., None]) -> Callable[..., None]:
+    """Decorate a test so that it runs in an event loop, with a new harness as its first argument.
+
+    pytest sees the signature without that argument.
+    """
 
-    def run(*args: Any, **given: Any) -> None:
-        run_bench(lambda bench: test(bench, *args, **given))
+    def run(*args: Any, **kwargs: Any) -> None:
+        run_with_harness(lambda harness: test(harness, *args, **kwargs))
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
-    kept = list(inspect.signature(test).parameters.values())[1:]
-    run.__signature__ = inspect.Signature(kept)  # type: ignore[attr-defined]
+    parameters = list(inspect.signature(test).parameters.values())[1:]
+    run.__signature__ = inspect.Signature(parameters)  # type: ignore[attr-defined]
     return run
--- a/tests/server/test_core_durability.py
+++ b/tests/server/test_core_durability.py
@@ -1,4 +1,4 @@
-"""The core with keys that outlive the process: what waits for the disk, and what does not."""
+"""The core with a key store: which runs and answers wait for a record on disk, and which do not."""
 
 from __future__ import annotations
 
@@ -10,11 +10,17 @@
 
 from shelfhaven.lab.state_model import Mistake, search
 from shelfhaven.server import messages
-from tests.server.core_bench import LOOK, PAY, Bench, with_bench
+from tests.server.core_bench import LOOK, PAY, CoreHarness, with_harness
 
 
 class KeyStoreStub:
-    """A key store that replies when the test says so."""
+    """Stub of the key store, which records its calls; the test sends the replies.
+
+    Attributes:
+        previous: seconds for which keys of previous incarnations are still valid, by digest.
+        possibly_previous: seconds for which any other key may have run in a previous incarnation.
+        confirms_outcomes: whether `OutcomeRecorded` follows a recorded outcome.
+    """
 
     def __init__(self) -> None:
         self.intents: list[tuple[int, messages.DurableKey]] = []
@@ -27,8 +33,8 @@
         self.confirms_outcomes = True
 
     def find_previous(self, key_digest: bytes, key_ttl: float) -> messages.PreviousKey | None:
-        if known := self.previous.get(key_digest):
-            return messages.PreviousKey(known, is_recorded=True)
+        if valid_for := self.previous.get(key_digest):
+            return messages.PreviousKey(valid_for, is_recorded=True)
         uncertain_for = min(key_ttl, self.possibly_previous)
         return messages.PreviousKey(uncertain_for, is_recorded=False) if uncertain_for else None
 
@@ -49,305 +55,342 @@
         self.fetches.append((request_id, key_digest))
 
 
-def attach_store(bench: Bench) -> KeyStoreStub:
-    disk = KeyStoreStub()
-    bench.core.keys.store = disk
-    return disk
+def attach_store(harness: CoreHarness) -> KeyStoreStub:
+    store = KeyStoreStub()
+    harness.core.keys.store = store
+    return store
 
 
-def confirm_intent(bench: Bench, disk: KeyStoreStub) -> None:
-    bench.tell(messages.IntentRecorded(disk.intents[-1][0], True))
+def confirm_intent(harness: CoreHarness, store: KeyStoreStub) -> None:
+    harness.send(messages.IntentRecorded(store.intents[-1][0], True))
 
 
-@with_bench
-def test_a_keyed_run_is_launched_once_written_and_answered_once_its_end_is(bench: Bench) -> None:
-    disk = attach_store(bench)
-    call = bench.submit(1, PAY, "k")
-    ((ref, told),) = disk.intents
-    assert (told.class_name, told.idempotency_key, len(told.digest), told.time_left > 0) == (
+@with_harness
+def test_a_keyed_run_is_launched_after_its_intent_and_answered_after_its_outcome_is_recorded(
+    harness: CoreHarness,
+) -> None:
+    store = attach_store(harness)
+    attempt_id = harness.submit(1, PAY, "k")
+    ((request_id, key),) = store.intents
+    assert (key.class_name, key.idempotency_key, len(key.digest), key.time_left > 0) == (
         "pay",
         "k",
         16,
         True,
     )
-    assert bench.launched() == []
-    confirm_intent(bench, disk)
-    assert bench.launched() == [call]
-    bench.end(call)
-    assert disk.outcomes == [(ref, told.digest, b"result")]
-    assert bench.answers(1) == []
-    bench.tell(messages.OutcomeRecorded(ref))
-    bench.tell(messages.OutcomeRecorded(ref))
-    assert [type(answer) for answer in bench.answers(1)] == [messages.ServedAnswer]
-    assert not bench.core.requests
-    bench.submit(2, PAY, "k")
-    assert [type(answer) for answer in bench.answers(2)] == [
+    assert harness.launched_attempts() == []
+    confirm_intent(harness, store)
+    assert harness.launched_attempts() == [attempt_id]
+    harness.finish_run(attempt_id)
+    assert store.outcomes == [(request_id, key.digest, b"result")]
+    assert harness.answers(1) == []
+    harness.send(messages.OutcomeRecorded(request_id))
+    harness.send(messages.OutcomeRecorded(request_id))
+    assert [type(answer) for answer in harness.answers(1)] == [messages.ServedAnswer]
+    assert not harness.core.requests
+    harness.submit(2, PAY, "k")
+    assert [type(answer) for answer in harness.answers(2)] == [
         messages.ServedAnswer
-    ], "a repeat in the same life needs no disk"
-    assert len(disk.intents) == 1
-    bench.submit(3, LOOK)
-    assert len(bench.launched()) == 2, "what has no key waits for nothing"
-
-
-@with_bench
-def test_a_run_that_cannot_be_written_is_refused_with_advice_and_its_key_is_free(bench: Bench) -> None:
-    disk = attach_store(bench)
-    bench.submit(1, PAY, "k")
-    bench.tell(messages.IntentRecorded(disk.intents[0][0], False, 2.5))
-    (refused,) = bench.answers(1)
-    assert isinstance(refused, messages.RejectedAnswer)
-    assert refused.retry_after == min(2.5, bench.core.config.settings.max_retry_after)
-    assert bench.launched() == []
-    bench.tell(messages.IntentRecorded(disk.intents[0][0], True))
-    assert bench.launched() == [], "a late word starts nothing"
-    bench.submit(2, PAY, "k")
-    assert len(disk.intents) == 2
-
-
-@with_bench
-def test_a_run_that_never_began_is_dropped_and_one_that_failed_is_kept(bench: Bench) -> None:
-    disk = attach_store(bench)
-    call = bench.submit(1, PAY, "k1")
-    confirm_intent(bench, disk)
-    bench.end(call, "NOOP")
-    bench.submit(2, PAY, "k2")
-    confirm_intent(bench, disk)
-    bench.end(f"{2:016x}", "FAIL")
-    failed = [end for end in disk.outcomes if end[2] is None]
-    assert len(failed) + len(disk.discarded) == 2
-    for ref, _, _ in disk.outcomes:
-        bench.tell(messages.OutcomeRecorded(ref))
-    assert not bench.core.requests
-
-
-@with_bench
-def test_who_leaves_or_waits_too_long_while_it_is_written_is_answered_once(bench: Bench) -> None:
-    disk = attach_store(bench)
-    bench.submit(1, PAY, "k1")
-    bench.pass_time(60.0)  # its due time comes first
-    assert len(bench.answers(1)) == 1
-    bench.tell(messages.IntentRecorded(disk.intents[0][0], True))
-    assert bench.launched() == [], "nobody could have its result in time"
-    assert disk.discarded == [disk.intents[0][1].digest]
-    bench.submit(2, PAY, "k2")
-    bench.tell(messages.CancelRequest(bench.frontend, 2))
-    confirm_intent(bench, disk)
-    bench.end(f"{2:016x}")
-    for ref, _, _ in disk.outcomes:
-        bench.tell(messages.OutcomeRecorded(ref))
-    assert bench.answers(2) == []
-    assert not bench.core.requests
+    ], "a duplicate in the same incarnation needs no record"
+    assert len(store.intents) == 1
+    harness.submit(3, LOOK)
+    assert len(harness.launched_attempts()) == 2, "a run without a key waits for no record"
+
+
+@with_harness
+def test_a_run_without_a_recorded_intent_is_rejected_and_its_key_can_be_used_again(
+    harness: CoreHarness,
+) -> None:
+    store = attach_store(harness)
+    harness.submit(1, PAY, "k")
+    harness.send(messages.IntentRecorded(store.intents[0][0], False, 2.5))
+    (answer,) = harness.answers(1)
+    assert isinstance(answer, messages.RejectedAnswer)
+    assert answer.retry_after == min(2.5, harness.core.config.settings.max_retry_after)
+    assert harness.launched_attempts() == []
+    harness.send(messages.IntentRecorded(store.intents[0][0], True))
+    assert harness.launched_attempts() == [], "a late reply starts no run"
+    harness.submit(2, PAY, "k")
+    assert len(store.intents) == 2
+
+
+@with_harness
+def test_the_intent_of_an_unstarted_run_is_discarded_and_a_failed_run_is_recorded(
+    harness: CoreHarness,
+) -> None:
+    store = attach_store(harness)
+    attempt_id = harness.submit(1, PAY, "k1")
+    confirm_intent(harness, store)
+    harness.finish_run(attempt_id, "NOOP")
+    harness.submit(2, PAY, "k2")
+    confirm_intent(harness, store)
+    harness.finish_run(f"{2:016x}", "FAIL")
+    failed = [outcome for outcome in store.outcomes if outcome[2] is None]
+    assert len(failed) + len(store.discarded) == 2
+    for request_id, _, _ in store.outcomes:
+        harness.send(messages.OutcomeRecorded(request_id))
+    assert not harness.core.requests
+
+
+@with_harness
+def test_a_request_cancelled_or_due_while_its_intent_is_recorded_is_answered_at_most_once(
+    harness: CoreHarness,
+) -> None:
+    store = attach_store(harness)
+    harness.submit(1, PAY, "k1")
+    harness.advance_time(60.0)  # beyond its due time
+    assert len(harness.answers(1)) == 1
+    harness.send(messages.IntentRecorded(store.intents[0][0], True))
+    assert harness.launched_attempts() == [], "its result would come too late"
+    assert store.discarded == [store.intents[0][1].digest]
+    harness.submit(2, PAY, "k2")
+    harness.send(messages.CancelRequest(harness.frontend, 2))
+    confirm_intent(harness, store)
+    harness.finish_run(f"{2:016x}")
+    for request_id, _, _ in store.outcomes:
+        harness.send(messages.OutcomeRecorded(request_id))
+    assert harness.answers(2) == []
+    assert not harness.core.requests
 
 
 @pytest.mark.parametrize("result", [b"before", None])
-@with_bench
-def test_a_key_of_an_earlier_life_is_answered_and_never_run(bench: Bench, result: bytes | None) -> None:
-    disk = attach_store(bench)
-    bench.submit(1, PAY, "k")
-    id_ = disk.intents[0][1].digest
-    bench.tell(messages.IntentRecorded(disk.intents[0][0], False, 1.0))
-    bench.core.keys.table.entries.clear()  # as a new life begins
-    disk.previous[id_] = 5.0
-    for ref in (2, 3):
-        bench.submit(ref, PAY, "k")
-    assert [asked[1] for asked in disk.fetches] == [id_, id_]
-    for ref, _ in disk.fetches:
-        bench.tell(messages.StoredResultFetched(ref, result))
-        bench.tell(messages.StoredResultFetched(ref, result))
-    wanted = messages.FailedAnswer if result is None else messages.ServedAnswer
-    assert [type(answer) for ref in (2, 3) for answer in bench.answers(ref)] == [wanted, wanted]
-    assert bench.launched() == []
-    assert not bench.core.requests
-    bench.pass_time(60.0)
-    disk.previous.clear()
-    bench.submit(4, PAY, "k")
-    assert len(disk.intents) == 2, "its window is over"
-
-
-@with_bench
-def test_what_may_have_run_out_of_sight_is_written_down_too(bench: Bench) -> None:
-    disk = attach_store(bench)
-    bench.submit(1, PAY, "k")
-    bench.tell(messages.CancelRequest(bench.frontend, 1, may_run=True))
-    bench.tell(messages.IntentRecorded(disk.intents[0][0], False, 0.5))  # here it never began
-    assert [one.digest for one in disk.uncertain] == [disk.intents[0][1].digest]
-    assert disk.uncertain[0].time_left > 0
-    bench.submit(2, PAY, "k")
-    assert [type(answer) for answer in bench.answers(2)] == [messages.FailedAnswer]
-
-
-@with_bench
-def test_while_any_key_may_have_run_none_is_run_and_none_is_called_unrun(bench: Bench) -> None:
-    disk = attach_store(bench)
-    disk.possibly_previous = float("inf")
-    for ref in range(1, 4):
-        bench.submit(ref, PAY, f"k{ref % 2}")
-    assert [type(answer) for ref in (1, 2, 3) for answer in bench.answers(ref)] == [messages.FailedAnswer] * 3
-    assert not disk.intents
-    assert not disk.fetches
-    bench.submit(9, LOOK)
-    assert len(bench.launched()) == 1
-    disk.possibly_previous = 0.0
-    bench.submit(10, PAY, "another")
-    assert len(disk.intents) == 1
-
-
-MOVES = ["submit", "good", "bad", "end", "fail", "noop", "written", "cancel", "later", "fetched"]
-moves = st.sampled_from(MOVES)
+@with_harness
+def test_a_key_of_a_previous_incarnation_is_answered_and_never_run(
+    harness: CoreHarness, result: bytes | None
+) -> None:
+    store = attach_store(harness)
+    harness.submit(1, PAY, "k")
+    digest = store.intents[0][1].digest
+    harness.send(messages.IntentRecorded(store.intents[0][0], False, 1.0))
+    harness.core.keys.table.entries.clear()  # as in a new incarnation
+    store.previous[digest] = 5.0
+    for request_ref in (2, 3):
+        harness.submit(request_ref, PAY, "k")
+    assert [fetch[1] for fetch in store.fetches] == [digest, digest]
+    for request_id, _ in store.fetches:
+        harness.send(messages.StoredResultFetched(request_id, result))
+        harness.send(messages.StoredResultFetched(request_id, result))
+    expected = messages.FailedAnswer if result is None else messages.ServedAnswer
+    assert [type(answer) for request_ref in (2, 3) for answer in harness.answers(request_ref)] == [
+        expected,
+        expected,
+    ]
+    assert harness.launched_attempts() == []
+    assert not harness.core.requests
+    harness.advance_time(60.0)
+    store.previous.clear()
+    harness.submit(4, PAY, "k")
+    assert len(store.intents) == 2, "its TTL is over"
+
+
+@with_harness
+def test_a_key_that_may_have_run_elsewhere_is_recorded(harness: CoreHarness) -> None:
+    store = attach_store(harness)
+    harness.submit(1, PAY, "k")
+    harness.send(messages.CancelRequest(harness.frontend, 1, may_run=True))
+    harness.send(messages.IntentRecorded(store.intents[0][0], False, 0.5))  # it never started here
+    assert [key.digest for key in store.uncertain] == [store.intents[0][1].digest]
+    assert store.uncertain[0].time_left > 0
+    harness.submit(2, PAY, "k")
+    assert [type(answer) for answer in harness.answers(2)] == [messages.FailedAnswer]
+
+
+@with_harness
+def test_while_any_key_may_have_run_keyed_requests_are_failed_and_neither_run_nor_rejected(
+    harness: CoreHarness,
+) -> None:
+    store = attach_store(harness)
+    store.possibly_previous = float("inf")
+    for request_ref in range(1, 4):
+        harness.submit(request_ref, PAY, f"k{request_ref % 2}")
+    assert [type(answer) for request_ref in (1, 2, 3) for answer in harness.answers(request_ref)] == [
+        messages.FailedAnswer
+    ] * 3
+    assert not store.intents
+    assert not store.fetches
+    harness.submit(9, LOOK)
+    assert len(harness.launched_attempts()) == 1
+    store.possibly_previous = 0.0
+    harness.submit(10, PAY, "another")
+    assert len(store.intents) == 1
+
+
+STEPS = [
+    "submit", "intent-recorded", "intent-refused", "pass", "fail", "noop", "outcome-recorded", "cancel",
+    "advance", "fetched",
+]  # fmt: skip
+step_names = st.sampled_from(STEPS)
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.lists(st.tuples(moves, st.integers(0, 5)), max_size=40))
-@with_bench
-def test_whatever_meets_in_whatever_order_each_is_answered_once_and_no_run_is_unwritten(
-    bench: Bench,
-    script: list[tuple[str, int]],
+@given(st.lists(st.tuples(step_names, st.integers(0, 5)), max_size=40))
+@with_harness
+def test_in_any_order_of_messages_no_request_is_answered_twice_and_no_run_starts_unrecorded(
+    harness: CoreHarness,
+    steps: list[tuple[str, int]],
 ) -> None:
-    disk, refs, said = attach_store(bench), 0, set[int]()
-    for move, number in script:
-        calls = bench.launched()
-        match move:
+    store, last_ref, replied = attach_store(harness), 0, set[int]()
+    for step, number in steps:
+        attempt_ids = harness.launched_attempts()
+        match step:
             case "submit":
-                refs += 1
-                bench.submit(refs, PAY, f"k{number}")
-            case "good" | "bad" if disk.intents:
-                ref = disk.intents[number % len(disk.intents)][0]
-                if ref not in said:
-                    said.add(ref)
-                    bench.tell(messages.IntentRecorded(ref, move == "good", 0.5))
-            case "end" | "fail" | "noop" if calls:
-                bench.end(calls[number % len(calls)], {"end": "PASS", "fail": "FAIL", "noop": "NOOP"}[move])
-            case "written" if disk.outcomes:
-                bench.tell(messages.OutcomeRecorded(disk.outcomes[number % len(disk.outcomes)][0]))
-            case "cancel" if refs:
-                bench.tell(messages.CancelRequest(bench.frontend, 1 + number % refs))
-            case "later":
-                bench.pass_time(0.2 * number)
-            case "fetched" if disk.fetches:
-                bench.tell(
+                last_ref += 1
+                harness.submit(last_ref, PAY, f"k{number}")
+            case "intent-recorded" | "intent-refused" if store.intents:
+                request_id = store.intents[number % len(store.intents)][0]
+                if request_id not in replied:
+                    replied.add(request_id)
+                    harness.send(messages.IntentRecorded(request_id, step == "intent-recorded", 0.5))
+            case "pass" | "fail" | "noop" if attempt_ids:
+                harness.finish_run(
+                    attempt_ids[number % len(attempt_ids)],
+                    {"pass": "PASS", "fail": "FAIL", "noop": "NOOP"}[step],
+                )
+            case "outcome-recorded" if store.outcomes:
+                harness.send(messages.OutcomeRecorded(store.outcomes[number % len(store.outcomes)][0]))
+            case "cancel" if last_ref:
+                harness.send(messages.CancelRequest(harness.frontend, 1 + number % last_ref))
+            case "advance":
+                harness.advance_time(0.2 * number)
+            case "fetched" if store.fetches:
+                harness.send(
                     messages.StoredResultFetched(
-                        disk.fetches[number % len(disk.fetches)][0], b"x" if number % 2 else None
+                        store.fetches[number % len(store.fetches)][0], b"x" if number % 2 else None
                     )
                 )
-    for ref, _ in disk.intents:
-        bench.tell(messages.IntentRecorded(ref, False, 0.5))
-    for call in bench.launched():
-        bench.end(call)
-    for ref, _, _ in disk.outcomes:
-        bench.tell(messages.OutcomeRecorded(ref))
-    bench.pass_time(120.0)
-    assert all(len(bench.answers(ref)) <= 1 for ref in range(1, refs + 1))
-    assert not bench.core.requests
-    assert not bench.core.requests.unanswered
-    launched = bench.launched()
-    assert len(launched) == len(set(launched)) <= len(said)
+    for request_id, _ in store.intents:
+        harness.send(messages.IntentRecorded(request_id, False, 0.5))
+    for attempt_id in harness.launched_attempts():
+        harness.finish_run(attempt_id)
+    for request_id, _, _ in store.outcomes:
+        harness.send(messages.OutcomeRecorded(request_id))
+    harness.advance_time(120.0)
+    assert all(len(harness.answers(request_ref)) <= 1 for request_ref in range(1, last_ref + 1))
+    assert not harness.core.requests
+    assert not harness.core.requests.unanswered
+    launched = harness.launched_attempts()
+    assert len(launched) == len(set(launched)) <= len(replied)
 
 
-# The model
+# The model of a recorded key
 
 
-def test_every_state_of_a_key_that_is_written_down_holds() -> None:
-    found = search()
-    assert found.steps is None
-    assert found.states > 200
-    print(f"{found.states} states")
+def test_no_state_of_the_model_is_a_breach() -> None:
+    result = search()
+    assert result.steps is None
+    assert result.states > 200
+    print(f"{result.states} states")
 
 
 @pytest.mark.parametrize("mistake", [mistake for mistake in Mistake if mistake is not Mistake.NONE])
-def test_each_planted_mistake_is_found(mistake: Mistake) -> None:
+def test_the_search_finds_each_seeded_mistake(mistake: Mistake) -> None:
     assert search(mistake).steps is not None
 
 
-LATER = ["written", "late", "effect", "end", "die", "try"]
+TRACE_STEPS = ["written", "write-too-late", "effect", "run-end", "crash", "attempt"]
 
 
 class Trace:
-    """One key over lives of a node: what is on the disk, what the server below did, what was answered."""
+    """One key over several incarnations of a node, with its records on disk and the backend's effects.
+
+    Attributes:
+        rows: results on disk by key digest; None for an intent or a failed run.
+        sent: runs that were sent to the backend and may still take effect.
+        finished: attempts whose runs have ended.
+        effects, attempts: how many there have been.
+        result_answered: whether an attempt was answered with the result.
+    """
 
     def __init__(self) -> None:
         self.rows: dict[bytes, bytes | None] = {}
-        self.sent: list[tuple[Bench, str]] = []  # runs that may take effect yet
-        self.over: set[str] = set()
-        self.effects = self.tries = 0
-        self.promised = False
-        self.begin()
-
-    def begin(self) -> None:
-        self.bench, self.launched = Bench(), 0
-        self.store = attach_store(self.bench)
+        self.sent: list[tuple[CoreHarness, str]] = []
+        self.finished: set[str] = set()
+        self.effects = self.attempts = 0
+        self.result_answered = False
+        self.start_incarnation()
+
+    def start_incarnation(self) -> None:
+        self.harness, self.launched_count = CoreHarness(), 0
+        self.store = attach_store(self.harness)
         self.store.previous = dict.fromkeys(self.rows, 100.0)
 
-    def write(self, told: bool) -> None:
-        """All that is on its way gets to the disk; `told`: the node hears of it."""
-        disk = self.store
-        for ref, one in disk.intents:
-            self.rows[one.digest] = None
-            if told:
-                self.bench.tell(messages.IntentRecorded(ref, True))
-        for ref, id_, result in disk.outcomes:
-            self.rows[id_] = result
-            if told:
-                self.bench.tell(messages.OutcomeRecorded(ref))
-        for id_ in disk.discarded:
-            self.rows.pop(id_, None)
-        disk.intents, disk.outcomes, disk.discarded = [], [], []
-
-    def play(self, move: str, well: bool) -> None:
-        before, running = (
+    def write(self, notify: bool) -> None:
+        """Complete all pending writes; `notify`: tell the node so."""
+        store = self.store
+        for request_id, key in store.intents:
+            self.rows[key.digest] = None
+            if notify:
+                self.harness.send(messages.IntentRecorded(request_id, True))
+        for request_id, digest, result in store.outcomes:
+            self.rows[digest] = result
+            if notify:
+                self.harness.send(messages.OutcomeRecorded(request_id))
+        for digest in store.discarded:
+            self.rows.pop(digest, None)
+        store.intents, store.outcomes, store.discarded = [], [], []
+
+    def play(self, step: str, success: bool) -> None:
+        effects_before, running = (
             self.effects,
-            [attempt for attempt in self.bench.launched() if attempt not in self.over],
+            [attempt for attempt in self.harness.launched_attempts() if attempt not in self.finished],
         )
-        match move:
-            case "try":
-                self.tries += 1
-                self.bench.submit(self.tries, PAY, "k")
+        match step:
+            case "attempt":
+                self.attempts += 1
+                self.harness.submit(self.attempts, PAY, "k")
             case "written":
-                self.write(told=True)
-            case "late" if self.store.intents:
-                ref, _ = self.store.intents.pop()
-                self.bench.tell(messages.IntentRecorded(ref, False, 0.5))
+                self.write(notify=True)
+            case "write-too-late" if self.store.intents:
+                request_id, _ = self.store.intents.pop()
+                self.harness.send(messages.IntentRecorded(request_id, False, 0.5))
             case "effect":
                 self.effects += len(self.sent)
                 self.sent.clear()
-            case "end" if running:
-                self.over.add(running[-1])
-                unrun = not well and (self.bench, running[-1]) in self.sent
-                if unrun:
-                    self.sent.remove((self.bench, running[-1]))
-                self.bench.end(running[-1], "PASS" if well and self.effects else "NOOP" if unrun else "FAIL")
-            case "die":
-                if well:
-                    self.write(told=False)
-                self.begin()
+            case "run-end" if running:
+                self.finished.add(running[-1])
+                never_ran = not success and (self.harness, running[-1]) in self.sent
+                if never_ran:
+                    self.sent.remove((self.harness, running[-1]))
+                self.harness.finish_run(
+                    running[-1], "PASS" if success and self.effects else "NOOP" if never_ran else "FAIL"
+                )
+            case "crash":
+                if success:
+                    self.write(notify=False)
+                self.start_incarnation()
             case "read":
                 fetches, self.store.fetches = self.store.fetches, []
-                for ref, id_ in fetches:
-                    self.bench.tell(messages.StoredResultFetched(ref, self.rows[id_]))
-        launched = self.bench.launched()
-        self.sent += [(self.bench, call) for call in launched[self.launched :]]
-        self.launched = len(launched)
-        self.check(before)
-
-    def check(self, before: int) -> None:
-        said = [type(answer) for answer in self.bench.frontend.received]
-        self.bench.frontend.received.clear()
+                for request_id, digest in fetches:
+                    self.harness.send(messages.StoredResultFetched(request_id, self.rows[digest]))
+        launched = self.harness.launched_attempts()
+        self.sent += [(self.harness, attempt_id) for attempt_id in launched[self.launched_count :]]
+        self.launched_count = len(launched)
+        self.check(effects_before)
+
+    def check(self, effects_before: int) -> None:
+        answer_types = [type(answer) for answer in self.harness.frontend.received]
+        self.harness.frontend.received.clear()
         assert self.effects <= 1
-        assert not (before and messages.RejectedAnswer in said), "told that it never ran"
-        assert not (self.promised and messages.FailedAnswer in said), "its result was there once"
-        self.promised |= messages.ServedAnswer in said
+        assert not (
+            effects_before and messages.RejectedAnswer in answer_types
+        ), "rejected although the key has run"
+        assert not (
+            self.result_answered and messages.FailedAnswer in answer_types
+        ), "failed after its result was answered"
+        self.result_answered |= messages.ServedAnswer in answer_types
 
 
 @settings(max_examples=300, deadline=None)
-@given(st.integers(0, 4), st.lists(st.tuples(st.sampled_from(LATER), st.booleans()), max_size=20))
-def test_the_core_breaks_nothing_that_the_model_holds_on_drawn_traces_with_deaths(
-    well_for: int, trace: list[tuple[str, bool]]
+@given(st.integers(0, 4), st.lists(st.tuples(st.sampled_from(TRACE_STEPS), st.booleans()), max_size=20))
+def test_the_core_keeps_the_invariants_of_the_model_on_random_traces_with_crashes(
+    initial_step_count: int, steps: list[tuple[str, bool]]
 ) -> None:
     async def check() -> None:
-        one = Trace()
-        for move in ("try", "written", "effect", "end")[:well_for]:
-            one.play(move, True)
-        for move, well in trace:
-            one.play(move, well)
-            one.play("read", True)
+        trace = Trace()
+        for step in ("attempt", "written", "effect", "run-end")[:initial_step_count]:
+            trace.play(step, True)
+        for step, success in steps:
+            trace.play(step, success)
+            trace.play("read", True)
 
     asyncio.run(check())
--- a/tests/server/test_core_keys.py
+++ b/tests/server/test_core_keys.py
@@ -1,4 +1,4 @@
-"""The core and idempotency keys: duplicates are answered from their originals, and no key runs twice."""
+"""Idempotency keys in the core: duplicates are answered from their original, and no key runs twice."""
 
 from __future__ import annotations
 
@@ -6,192 +6,200 @@
 
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.server import messages
-from tests.server.core_bench import LOOK, PAY, Bench, with_bench
-
-
-@with_bench
-def test_a_keyed_repeat_is_served_from_the_try_that_runs_or_ran(bench: Bench) -> None:
-    first = bench.submit(1, PAY, "k")
-    bench.submit(2, PAY, "k")
-    assert bench.launched() == [first]
-    bench.end(first)
-    assert [answer.body for answer in (*bench.answers(1), *bench.answers(2))] == [b"result"] * 2
-    bench.pass_time(2.0)
-    bench.submit(3, PAY, "k")
-    assert [answer.body for answer in bench.answers(3)] == [b"result"]
-    assert bench.launched() == [first]
-
-
-@with_bench
-def test_a_key_with_another_body_is_not_served_from_the_try_that_ran(bench: Bench) -> None:
-    bench.end(bench.submit(1, PAY, "k"))
-    bench.submit(2, PAY, "k", body=b"another")
-    assert not bench.answers(2)
-    bench.submit(3, PAY, "k")
-    assert [answer.body for answer in bench.answers(3)] == [b"result"]
-
-
-@with_bench
-def test_a_keyed_try_runs_again_only_when_it_reached_the_machine_after_the_window(bench: Bench) -> None:
-    first = bench.submit(1, PAY, "k")
-    bench.end(first)
-    bench.pass_time(3.15)
-    bench.submit(2, PAY, "k", received_at=5000.0 + bench.now - 0.2)  # reached it inside, read outside
-    assert bench.launched() == [first]
-    assert [type(answer) for answer in bench.answers(2)] == [messages.ServedAnswer]
-    again = bench.submit(3, PAY, "k")
-    assert bench.launched() == [first, again]
-
-
-@pytest.mark.parametrize("after", [3.5, 10.0], ids=["its window", "its entry would be forgotten"])
-@with_bench
-def test_a_repeat_of_a_run_that_outlasts_its_window_waits_for_it(bench: Bench, after: float) -> None:
-    first = bench.submit(1, PAY, "k")
-    bench.pass_time(after)
-    bench.submit(2, PAY, "k")
-    assert bench.launched() == [first]
-    bench.end(first)
-    assert [type(answer) for answer in bench.answers(2)] == [messages.ServedAnswer]
-    again = bench.submit(3, PAY, "k")
-    assert bench.launched() == [first, again], "its window is over, and so is the run"
-
-
-@with_bench
-def test_a_repeat_that_crosses_the_end_of_its_run_is_served_in_either_order(bench: Bench) -> None:
-    first = bench.submit(1, PAY, "k")
-    bench.end(first)
-    bench.submit(2, PAY, "k")
-    other = bench.submit(3, PAY, "l")
-    bench.submit(4, PAY, "l")
-    bench.end(other)
-    assert [type(answer) for ref in (1, 2, 3, 4) for answer in bench.answers(ref)] == [
+from tests.server.core_bench import LOOK, PAY, CoreHarness, with_harness
+
+
+@with_harness
+def test_a_duplicate_is_answered_from_its_running_or_finished_original(harness: CoreHarness) -> None:
+    first = harness.submit(1, PAY, "k")
+    harness.submit(2, PAY, "k")
+    assert harness.launched_attempts() == [first]
+    harness.finish_run(first)
+    assert [answer.body for answer in (*harness.answers(1), *harness.answers(2))] == [b"result"] * 2
+    harness.advance_time(2.0)
+    harness.submit(3, PAY, "k")
+    assert [answer.body for answer in harness.answers(3)] == [b"result"]
+    assert harness.launched_attempts() == [first]
+
+
+@with_harness
+def test_an_attempt_with_the_same_key_and_another_body_is_no_duplicate(harness: CoreHarness) -> None:
+    harness.finish_run(harness.submit(1, PAY, "k"))
+    harness.submit(2, PAY, "k", body=b"another")
+    assert not harness.answers(2)
+    harness.submit(3, PAY, "k")
+    assert [answer.body for answer in harness.answers(3)] == [b"result"]
+
+
+@with_harness
+def test_a_key_runs_again_only_for_an_attempt_received_after_its_ttl(harness: CoreHarness) -> None:
+    first = harness.submit(1, PAY, "k")
+    harness.finish_run(first)
+    harness.advance_time(3.15)
+    harness.submit(
+        2, PAY, "k", received_at=5000.0 + harness.now - 0.2
+    )  # received before the end of the TTL, read after it
+    assert harness.launched_attempts() == [first]
+    assert [type(answer) for answer in harness.answers(2)] == [messages.ServedAnswer]
+    second = harness.submit(3, PAY, "k")
+    assert harness.launched_attempts() == [first, second]
+
+
+@pytest.mark.parametrize("delay", [3.5, 10.0], ids=["TTL over", "entry due to be forgotten"])
+@with_harness
+def test_a_duplicate_of_a_run_that_outlasts_its_ttl_waits_for_it(harness: CoreHarness, delay: float) -> None:
+    first = harness.submit(1, PAY, "k")
+    harness.advance_time(delay)
+    harness.submit(2, PAY, "k")
+    assert harness.launched_attempts() == [first]
+    harness.finish_run(first)
+    assert [type(answer) for answer in harness.answers(2)] == [messages.ServedAnswer]
+    second = harness.submit(3, PAY, "k")
+    assert harness.launched_attempts() == [first, second], "both the TTL and the run are over"
+
+
+@with_harness
+def test_a_duplicate_is_served_whether_it_arrives_before_or_after_the_end_of_the_run(
+    harness: CoreHarness,
+) -> None:
+    first = harness.submit(1, PAY, "k")
+    harness.finish_run(first)
+    harness.submit(2, PAY, "k")
+    other = harness.submit(3, PAY, "l")
+    harness.submit(4, PAY, "l")
+    harness.finish_run(other)
+    assert [type(answer) for request_ref in (1, 2, 3, 4) for answer in harness.answers(request_ref)] == [
         messages.ServedAnswer
     ] * 4
-    assert bench.launched() == [first, other]
-
-
-@with_bench
-def test_keyed_runs_that_may_have_had_their_effect_and_no_others_are_told_as_unclear(bench: Bench) -> None:
-    told: list[str] = []
-    bench.core.keys.on_uncertain = lambda cls, tenant, key: told.append(key)
-    bench.end(bench.submit(1, PAY, "k"), "FAIL")
-    bench.end(bench.submit(2, LOOK, "safe"), "FAIL")
-    bench.end(bench.submit(3, PAY), "FAIL")
-    bench.end(bench.submit(4, PAY, "done"))
-    bench.tell(messages.RunCompleted(bench.submit(5, PAY, "unplaced"), Outcome.REJECTED, 0.0))
-    assert told == ["k"]
-
-
-@with_bench
-def test_a_repeat_of_a_failed_or_dropped_result_fails_and_never_runs(bench: Bench) -> None:
-    first = bench.submit(1, PAY, "k")
-    bench.end(first, "FAIL")
-    bench.submit(2, PAY, "k")
-    assert [type(answer) for answer in bench.answers(2)] == [messages.FailedAnswer]
-    bench.core.keys.table.results.capacity_bytes = 3
-    other = bench.submit(3, PAY, "j")
-    bench.end(other)
-    bench.submit(4, PAY, "j")
-    assert [type(answer) for answer in bench.answers(4)] == [messages.FailedAnswer]
-    assert bench.launched() == [first, other]
-    assert bench.core.keys.table.results.size_bytes == 0
-
-
-@with_bench
-def test_a_try_turned_away_unrun_leaves_its_key_free(bench: Bench) -> None:
-    bench.submit(1, PAY, "k", received_at=5000.0 + bench.now - 50.0)  # long past its time
-    assert [type(answer) for answer in bench.answers(1)] == [messages.RejectedAnswer]
-    second = bench.submit(2, PAY, "k")
-    assert bench.launched() == [second]
-
-
-@with_bench
-def test_the_table_forgets_after_the_window(bench: Bench) -> None:
-    bench.end(bench.submit(1, PAY, "k"))
-    bench.pass_time(10.0)
-    assert not bench.core.keys.table.entries
-    assert (bench.core.keys.table.results.size_bytes, len(bench.core.keys.table.results.bodies)) == (0, 0)
-
-
-@with_bench
-def test_a_key_taken_anew_replaces_the_result_before(bench: Bench) -> None:
-    bench.end(bench.submit(1, PAY, "k"), body=b"first")
-    bench.pass_time(3.2)  # past the window, not yet forgotten
-    bench.end(bench.submit(2, PAY, "k"), body=b"other result")
-    assert bench.core.keys.table.results.size_bytes == len(b"other result")
-    bench.pass_time(1.0)  # the first entry's time is over, the second one's is not
-    bench.submit(3, PAY, "k")
-    assert [answer.body for answer in bench.answers(3)] == [b"other result"]
-    assert len(bench.launched()) == 2
-    bench.pass_time(10.0)
+    assert harness.launched_attempts() == [first, other]
+
+
+@with_harness
+def test_only_keyed_runs_that_may_have_had_their_effect_are_reported_as_uncertain(
+    harness: CoreHarness,
+) -> None:
+    uncertain: list[str] = []
+    harness.core.keys.on_uncertain = lambda class_name, tenant, key: uncertain.append(key)
+    harness.finish_run(harness.submit(1, PAY, "k"), "FAIL")
+    harness.finish_run(harness.submit(2, LOOK, "safe"), "FAIL")
+    harness.finish_run(harness.submit(3, PAY), "FAIL")
+    harness.finish_run(harness.submit(4, PAY, "done"))
+    harness.send(messages.RunCompleted(harness.submit(5, PAY, "rejected"), Outcome.REJECTED, 0.0))
+    assert uncertain == ["k"]
+
+
+@with_harness
+def test_a_duplicate_of_a_failed_run_or_of_a_dropped_result_fails_and_never_runs(
+    harness: CoreHarness,
+) -> None:
+    first = harness.submit(1, PAY, "k")
+    harness.finish_run(first, "FAIL")
+    harness.submit(2, PAY, "k")
+    assert [type(answer) for answer in harness.answers(2)] == [messages.FailedAnswer]
+    harness.core.keys.table.results.capacity_bytes = 3
+    other = harness.submit(3, PAY, "j")
+    harness.finish_run(other)
+    harness.submit(4, PAY, "j")
+    assert [type(answer) for answer in harness.answers(4)] == [messages.FailedAnswer]
+    assert harness.launched_attempts() == [first, other]
+    assert harness.core.keys.table.results.size_bytes == 0
+
+
+@with_harness
+def test_the_key_of_a_rejected_attempt_can_be_used_again(harness: CoreHarness) -> None:
+    harness.submit(1, PAY, "k", received_at=5000.0 + harness.now - 50.0)  # long past its deadline
+    assert [type(answer) for answer in harness.answers(1)] == [messages.RejectedAnswer]
+    second = harness.submit(2, PAY, "k")
+    assert harness.launched_attempts() == [second]
+
+
+@with_harness
+def test_the_key_table_forgets_expired_keys(harness: CoreHarness) -> None:
+    harness.finish_run(harness.submit(1, PAY, "k"))
+    harness.advance_time(10.0)
+    assert not harness.core.keys.table.entries
+    assert (harness.core.keys.table.results.size_bytes, len(harness.core.keys.table.results.bodies)) == (0, 0)
+
+
+@with_harness
+def test_a_new_run_of_an_expired_key_replaces_the_earlier_result(harness: CoreHarness) -> None:
+    harness.finish_run(harness.submit(1, PAY, "k"), body=b"first")
+    harness.advance_time(3.2)  # the TTL is over, but the entry is not yet forgotten
+    harness.finish_run(harness.submit(2, PAY, "k"), body=b"other result")
+    assert harness.core.keys.table.results.size_bytes == len(b"other result")
+    harness.advance_time(1.0)  # the first entry would be forgotten by now, but not the second
+    harness.submit(3, PAY, "k")
+    assert [answer.body for answer in harness.answers(3)] == [b"other result"]
+    assert len(harness.launched_attempts()) == 2
+    harness.advance_time(10.0)
     assert (
-        bench.core.keys.table.results.size_bytes,
-        bench.core.keys.table.entries,
-        bench.core.keys.table.results.bodies,
+        harness.core.keys.table.results.size_bytes,
+        harness.core.keys.table.entries,
+        harness.core.keys.table.results.bodies,
     ) == (0, {}, {})
 
 
-@with_bench
-def test_the_key_and_body_of_another_tenant_are_another_request(bench: Bench) -> None:
-    first = bench.submit(1, PAY, "k", tenant=0)
-    second = bench.submit(2, PAY, "k", tenant=1)
-    bench.end(first, body=b"of the first")
-    bench.end(second, body=b"of the second")
-    assert bench.launched() == [first, second]
-    assert [answer.body for answer in (*bench.answers(1), *bench.answers(2))] == [
+@with_harness
+def test_the_same_key_and_body_from_another_tenant_are_another_request(harness: CoreHarness) -> None:
+    first = harness.submit(1, PAY, "k", tenant=0)
+    second = harness.submit(2, PAY, "k", tenant=1)
+    harness.finish_run(first, body=b"of the first")
+    harness.finish_run(second, body=b"of the second")
+    assert harness.launched_attempts() == [first, second]
+    assert [answer.body for answer in (*harness.answers(1), *harness.answers(2))] == [
         b"of the first",
         b"of the second",
     ]
-    bench.submit(3, PAY, "k", tenant=1)
-    assert [answer.body for answer in bench.answers(3)] == [b"of the second"]
-    assert bench.launched() == [first, second]
+    harness.submit(3, PAY, "k", tenant=1)
+    assert [answer.body for answer in harness.answers(3)] == [b"of the second"]
+    assert harness.launched_attempts() == [first, second]
 
 
-@with_bench
-def test_the_same_key_and_body_asked_of_another_path_are_another_request(bench: Bench) -> None:
-    asked = [
+@with_harness
+def test_the_same_key_and_body_with_another_path_are_another_request(harness: CoreHarness) -> None:
+    attributes = [
         messages.RequestAttributes("POST", f"/topup/{number}", "", "", identity_parts=(number,))
         for number in ("1", "2")
     ]
-    calls = [bench.submit(number, PAY, "k", attributes=asked[number - 1]) for number in (1, 2)]
-    assert bench.launched() == calls
-    for call in calls:
-        bench.end(call)
-    plain = [
-        bench.submit(3, PAY, "q", attributes=messages.RequestAttributes("POST", "/topup", "", "")),
-        bench.submit(4, PAY, "q"),
+    attempt_ids = [harness.submit(number, PAY, "k", attributes=attributes[number - 1]) for number in (1, 2)]
+    assert harness.launched_attempts() == attempt_ids
+    for attempt_id in attempt_ids:
+        harness.finish_run(attempt_id)
+    without_parts = [
+        harness.submit(3, PAY, "q", attributes=messages.RequestAttributes("POST", "/topup", "", "")),
+        harness.submit(4, PAY, "q"),
     ]
-    assert bench.launched() == [*calls, plain[0]]  # a front that tells no path asks the same
+    assert harness.launched_attempts() == [*attempt_ids, without_parts[0]]  # the second is a duplicate
 
 
-@pytest.mark.parametrize("crossing", [False, True])
-@with_bench
-def test_a_key_that_may_have_run_out_of_sight_is_never_run_again_in_its_window(
-    bench: Bench, crossing: bool
+@pytest.mark.parametrize("launched", [False, True])
+@with_harness
+def test_a_key_that_may_have_run_elsewhere_is_not_run_within_its_ttl(
+    harness: CoreHarness, launched: bool
 ) -> None:
-    running = [bench.submit(ref) for ref in (1, 2)]
-    if crossing:  # launched, and its caller's leaving comes before the runner's word that it never began
-        bench.end(running[0])
-    call = bench.submit(3, PAY, "k")
-    bench.tell(messages.CancelRequest(bench.frontend, 3, may_run=True))
-    if crossing:
-        bench.tell(messages.RunCompleted(call, Outcome.CONNECT_FAILED, 0.0))
-    for one in running:
-        bench.end(one)
-    bench.submit(4, PAY, "k")
-    assert [type(answer) for answer in bench.answers(4)] == [messages.FailedAnswer]
-    assert (call in bench.launched()) is crossing
-    bench.pass_time(5.0)  # the window is over
-    bench.submit(5, PAY, "k")
-    assert f"{5:016x}" in bench.launched()
-
-
-@with_bench
-def test_a_key_that_was_withdrawn_unrun_is_free(bench: Bench) -> None:
-    running = [bench.submit(ref) for ref in (1, 2)]
-    bench.submit(3, PAY, "k")
-    bench.tell(messages.CancelRequest(bench.frontend, 3))
-    for one in running:
-        bench.end(one)
-    again = bench.submit(4, PAY, "k")
-    assert again in bench.launched()
+    running = [harness.submit(request_ref) for request_ref in (1, 2)]
+    if launched:  # cancelled after its launch, before the runner reports that the run never started
+        harness.finish_run(running[0])
+    attempt_id = harness.submit(3, PAY, "k")
+    harness.send(messages.CancelRequest(harness.frontend, 3, may_run=True))
+    if launched:
+        harness.send(messages.RunCompleted(attempt_id, Outcome.CONNECT_FAILED, 0.0))
+    for running_attempt in running:
+        harness.finish_run(running_attempt)
+    harness.submit(4, PAY, "k")
+    assert [type(answer) for answer in harness.answers(4)] == [messages.FailedAnswer]
+    assert (attempt_id in harness.launched_attempts()) is launched
+    harness.advance_time(5.0)  # the TTL is over
+    harness.submit(5, PAY, "k")
+    assert f"{5:016x}" in harness.launched_attempts()
+
+
+@with_harness
+def test_the_key_of_a_request_cancelled_before_its_run_can_be_used_again(harness: CoreHarness) -> None:
+    running = [harness.submit(request_ref) for request_ref in (1, 2)]
+    harness.submit(3, PAY, "k")
+    harness.send(messages.CancelRequest(harness.frontend, 3))
+    for running_attempt in running:
+        harness.finish_run(running_attempt)
+    second = harness.submit(4, PAY, "k")
+    assert second in harness.launched_attempts()
--- a/tests/server/test_request.py
+++ b/tests/server/test_request.py
@@ -1,4 +1,4 @@
-"""One attempt: its answer is sent once, its work goes through named states, and the table of them."""
+"""The states of a request, the request table, and the core's fields of the load log line."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from shelfhaven.server import messages
 from shelfhaven.server.request import AnswerState, Request, WorkState, content_digest
 from shelfhaven.server.request_table import RequestTable
-from tests.server.core_bench import Bench, with_bench
+from tests.server.core_bench import CoreHarness, with_harness
 
 
 class Frontend:
-    """A frontend whose answers nobody reads."""
+    """A frontend that ignores its answers."""
 
     def answer(self, answer: messages.Answer) -> None:
-        """Ignore it."""
+        """Ignore the answer."""
 
 
 FRONTEND = Frontend()
@@ -49,7 +49,7 @@
     assert not unkeyed.may_run_elsewhere
 
 
-def test_a_completion_that_waited_for_its_record_is_taken_once() -> None:
+def test_an_unrecorded_completion_is_taken_once() -> None:
     request = _request()
     request.launch()
     completion = messages.RunCompleted("a7", Outcome.OK, 0.1, b"result")
@@ -58,7 +58,7 @@
     assert [request.take_completion(), request.take_completion()] == [completion, None]
 
 
-def test_a_request_is_done_once_it_is_answered_and_its_work_is_over() -> None:
+def test_a_request_is_done_once_it_is_answered_and_its_work_is_finished() -> None:
     request = _request()
     request.duplicate_ids.append(9)
     assert not request.is_done
@@ -70,28 +70,26 @@
 
 
 @pytest.mark.parametrize(("budget", "time_left"), [(None, 1.5), (0.8, 0.3), (9.0, 1.5), (0.2, -0.3)])
-def test_the_time_left_is_bounded_by_the_deadline_and_by_the_budget(
-    budget: float | None, time_left: float
-) -> None:
+def test_the_time_left_ends_with_the_deadline_or_the_budget(budget: float | None, time_left: float) -> None:
     assert _request(budget=budget).time_left(100.5) == pytest.approx(time_left)
 
 
-def test_the_content_digest_tells_bodies_and_identity_parts_apart() -> None:
+def test_the_content_digest_distinguishes_bodies_and_identity_parts() -> None:
     attributes = [
         messages.RequestAttributes("POST", "/", "", "", identity_parts=parts)
         for parts in [(), ("a",), ("a", ""), ("", "a"), ("ab",), ("a", "b")]
     ]
-    submissions = [replace(SUBMISSION, attributes=one) for one in attributes]
+    submissions = [replace(SUBMISSION, attributes=item) for item in attributes]
     submissions.append(replace(SUBMISSION, body=b"other"))
     assert len({content_digest(submission) for submission in submissions}) == len(submissions)
     assert content_digest(SUBMISSION) == content_digest(submissions[0])
 
 
-def test_a_table_knows_a_request_by_each_of_its_names_until_it_is_done() -> None:
+def test_the_table_finds_a_request_by_each_identifier_until_it_is_done() -> None:
     table = RequestTable()
     request = _request()
     table.add(request)
-    assert table.get(1) is table.awaiting_answer(FRONTEND, 7) is request
+    assert table.get(1) is table.get_unanswered(FRONTEND, 7) is request
     assert table.contains_attempt(SUBMISSION)
     assert table.contains_attempt(replace(SUBMISSION, request_ref=8))
     assert table.contains_attempt(replace(SUBMISSION, attempt_id="other"))
@@ -108,39 +106,39 @@
     assert not table.by_attempt_id
 
 
-def test_a_table_finds_requests_whose_runs_have_begun() -> None:
+def test_the_table_finds_requests_whose_runs_have_started() -> None:
     table = RequestTable()
     queued, running = _request(1), _request(2, attempt_id="a8", request_ref=8)
     table.add(queued)
     table.add(running)
     running.launch()
     assert table.all_started() == [running]
-    assert table.started("a8") is running
-    assert table.started("a7") is None
+    assert table.get_started("a8") is running
+    assert table.get_started("a7") is None
     assert table.count_by_state() == {"held": 1, "running": 1}
 
 
-@with_bench
-def test_load_counts_requests_by_state_and_answers_since_the_last_time(bench: Bench) -> None:
-    for ref in range(1, 4):
-        bench.submit(ref)
-    bench.end(f"{1:016x}")
-    load = bench.core.load_now()
+@with_harness
+def test_load_counts_requests_by_state_and_answers_since_the_previous_call(harness: CoreHarness) -> None:
+    for request_ref in range(1, 4):
+        harness.submit(request_ref)
+    harness.finish_run(f"{1:016x}")
+    load = harness.core.load_now()
     assert (load["served"], load["running"], load["keys"], load["results"]) == (
         1,
-        bench.core.running_count(),
+        harness.core.running_count(),
         0,
         0,
     )
-    assert "served" not in bench.core.load_now()
-    assert bench.core.answer_counts["served"] == 1
+    assert "served" not in harness.core.load_now()
+    assert harness.core.answer_counts["served"] == 1
 
 
-@with_bench
-def test_load_has_the_fields_that_operators_read_in_their_order(bench: Bench) -> None:
-    bench.submit(1)
-    state, *others = bench.core.load_now()
+@with_harness
+def test_load_fields_keep_their_names_and_order(harness: CoreHarness) -> None:
+    harness.submit(1)
+    state, *other_fields = harness.core.load_now()
     assert state == "running"
-    assert others == [
+    assert other_fields == [
         "share", "wait", "cap", "lag", "warmth", "idle", "callers", "top", "published", "keys", "results",
     ]  # fmt: skip
