--- a/tests/server/test_downstream_calls.py
+++ b/tests/server/test_downstream_calls.py
@@ -1,4 +1,4 @@
-"""Downstream calls: their time limits and descriptors, and what comes on connections that are kept."""
+"""Downstream calls: timeouts, descriptors, and unexpected bytes on reused connections."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from tests.peers import NULL, Site, play, site
 
 
-def attempt_id(request_id: int) -> str:
+def attempt_id_of(request_id: int) -> str:
     return f"{request_id:016x}"
 
 
 @dataclass
-class Caller:
-    """The ledger's actor, the descriptors that it may use, and what it tells of its calls."""
+class LedgerHarness:
+    """The ledger's actor with its descriptors, and the `CallCompleted` messages that it has sent."""
 
     address: Address | None
     descriptors: Descriptors = field(default_factory=lambda: Descriptors(64))
@@ -39,107 +39,107 @@
         self.actor = Ledger(self.address, self.descriptors, self.completed.append, Log("test", NULL))
 
     def place(self, request_id: int, timeout: float) -> None:
-        self.actor.put(messages.PlaceCall(request_id, attempt_id(request_id), timeout, b""))
+        self.actor.put(messages.PlaceCall(request_id, attempt_id_of(request_id), timeout, b""))
 
     async def first_completions(self) -> list[messages.CallCompleted]:
-        """What is told of calls, once anything is."""
+        """Return the completions of calls as soon as there are any."""
         await until(lambda: self.completed)
         return self.completed
 
 
 @contextlib.asynccontextmanager
-async def calling(service: peers.Ledger) -> AsyncIterator[Caller]:
-    """A caller of a service, which is started."""
+async def ledger_harness(service: peers.Ledger) -> AsyncIterator[LedgerHarness]:
+    """Start a ledger stub and yield a harness that calls it."""
     await service.start()
-    caller = Caller(Address("127.0.0.1", service.port))
-    yield caller
-    caller.actor.end()
+    harness = LedgerHarness(Address("127.0.0.1", service.port))
+    yield harness
+    harness.actor.end()
 
 
 @contextlib.asynccontextmanager
 async def site_with_calls() -> AsyncIterator[tuple[Site, Router]]:
-    """A server each of whose runs calls downstream, and a router."""
+    """Yield a router and a server on which every run makes a downstream call."""
     async with site() as server:
         server.agent.on_launch = server.agent.call_downstream
         yield server, await server.router()
 
 
-def test_after_a_stall_a_reply_is_read_before_its_call_is_given_up() -> None:
+def test_after_a_stall_of_the_loop_a_waiting_reply_is_read_before_the_timeout_counts() -> None:
     async def check() -> None:
         service = peers.Ledger()
-        async with calling(service) as caller:
-            # the loop stands still with the reply in the socket
+        async with ledger_harness(service) as harness:
+            # The event loop stalls for longer than the timeout while the reply is in the socket.
             service.after_reply = lambda: time.sleep(0.4)
-            caller.place(1, timeout=0.3)
+            harness.place(1, timeout=0.3)
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
-            assert await caller.first_completions() == [expected]
+            assert await harness.first_completions() == [expected]
 
     play(check)
 
 
-def test_a_call_that_runs_out_is_given_up_and_may_have_run() -> None:
+def test_a_call_that_times_out_may_have_run() -> None:
     async def check() -> None:
         service = peers.Ledger()
         service.reply = None
-        async with calling(service) as caller:
-            caller.place(1, timeout=0.05)
-            assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.TIMEOUT)]
+        async with ledger_harness(service) as harness:
+            harness.place(1, timeout=0.05)
+            assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.TIMEOUT)]
             await until(lambda: service.closed)
 
     play(check)
 
 
-def test_a_call_without_a_connection_in_time_never_ran() -> None:
+def test_a_call_that_gets_no_connection_before_its_timeout_never_ran() -> None:
     async def check() -> None:
         service = peers.Ledger()
         service.reply = None
-        async with calling(service) as caller:
-            caller.descriptors.capacity = caller.descriptors.reserved_outbound = 1
-            caller.place(1, timeout=60.0)
-            caller.place(2, timeout=0.05)
-            caller.place(3, timeout=60.0)
+        async with ledger_harness(service) as harness:
+            harness.descriptors.capacity = harness.descriptors.reserved_outbound = 1
+            harness.place(1, timeout=60.0)
+            harness.place(2, timeout=0.05)
+            harness.place(3, timeout=60.0)
             expected = [messages.CallCompleted(2, Outcome.CONNECT_FAILED)]
-            assert await caller.first_completions() == expected
-            caller.actor.put(messages.CancelCall(1))
+            assert await harness.first_completions() == expected
+            harness.actor.put(messages.CancelCall(1))
             await until(lambda: len(service.calls) == 2)
-            assert [attempt for attempt, _ in service.calls] == [attempt_id(1), attempt_id(3)]
-            assert caller.completed == expected
+            assert [attempt for attempt, _ in service.calls] == [attempt_id_of(1), attempt_id_of(3)]
+            assert harness.completed == expected
 
     play(check)
 
 
 def test_a_refused_connection_proves_that_no_call_ran() -> None:
     async def check() -> None:
-        caller = Caller(Address("127.0.0.1", reserved_port()))
-        caller.place(1, timeout=5.0)
-        assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
+        harness = LedgerHarness(Address("127.0.0.1", reserved_port()))
+        harness.place(1, timeout=5.0)
+        assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
     play(check)
 
 
-def test_a_server_of_the_last_tier_calls_nobody() -> None:
+def test_without_a_ledger_address_every_call_fails_as_unconnected() -> None:
     async def check() -> None:
-        caller = Caller(None)
-        caller.place(1, timeout=5.0)
-        assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
+        harness = LedgerHarness(None)
+        harness.place(1, timeout=5.0)
+        assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
     play(check)
 
 
-def test_calls_wait_when_the_system_gives_no_socket(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_waits_if_no_socket_can_be_opened(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
-        async with calling(peers.Ledger()) as caller:
+        async with ledger_harness(peers.Ledger()) as harness:
 
             def fail(*_: object) -> socket.socket:
                 raise OSError(24, "too many open files")
 
             with monkeypatch.context() as patch:
                 patch.setattr("shelfhaven.backends.ledger.socket.socket", fail)
-                caller.actor._take(messages.PlaceCall(1, attempt_id(1), 60.0, b""))
-            assert (caller.completed, caller.descriptors.outbound) == ([], 0)
-            caller.descriptors.release_inbound()  # a descriptor is back
+                harness.actor._take(messages.PlaceCall(1, attempt_id_of(1), 60.0, b""))
+            assert (harness.completed, harness.descriptors.outbound) == ([], 0)
+            harness.descriptors.release_inbound()  # a descriptor is free again
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
-            assert await caller.first_completions() == [expected]
+            assert await harness.first_completions() == [expected]
 
     play(check)
 
@@ -152,9 +152,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngoodnoise\r\n",
     ],
 )
-def test_what_comes_with_a_good_reply_reaches_no_other_call(
-    reply: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_extra_bytes_with_a_reply_reach_no_other_call(reply: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ledger, "MIN_IDLE_TIME", 0.0)
 
     async def check() -> None:
@@ -162,20 +160,20 @@
             server.ledger.reply = reply
             router.request(1)
             assert "result" in await router.answer(1)
-            is_kept = b"100" in reply
-            assert len(server.app.peers.ledger.idle) == is_kept
+            is_reused = b"100" in reply
+            assert len(server.app.peers.ledger.idle) == is_reused
             server.ledger.reply = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
             router.request(2)
             assert "result" in await router.answer(2)
             assert [body for _, body in server.agent.delivered] == [b"good", b"other"]
-            assert server.ledger.connections == (1 if is_kept else 2)
+            assert server.ledger.connections == (1 if is_reused else 2)
 
     play(check)
 
 
-@pytest.mark.parametrize("late", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", b"noise", b""])
-def test_what_comes_late_on_a_resting_connection_ends_it_and_the_trust_in_others(
-    late: bytes, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("late_bytes", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", b"noise", b""])
+def test_late_bytes_or_a_close_on_an_idle_connection_end_the_reuse_of_connections(
+    late_bytes: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(ledger, "MIN_IDLE_TIME", 0.0)
 
@@ -187,14 +185,16 @@
                 assert server.ledger.connections == connections
                 if number == 2:
                     writer = server.ledger.writers[0]
-                    writer.write(late) if late else writer.close()
+                    writer.write(late_bytes) if late_bytes else writer.close()
                     await until(lambda: not server.app.peers.ledger.connections)
             assert [body for _, body in server.agent.delivered] == [b"done"] * 4
 
     play(check)
 
 
-def test_connections_that_this_side_ends_cost_no_trust_in_others(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_closing_a_connection_on_this_side_does_not_end_the_reuse_of_others(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ledger, "MIN_IDLE_TIME", 0.0)
 
     async def check() -> None:
@@ -202,9 +202,9 @@
             router.request(1)
             assert "result" in await router.answer(1)
             server.ledger.reply = None
-            call = router.request(2)  # on the kept connection, given up as its run ends
+            run_id = router.request(2)  # its call uses the idle connection and is cancelled with the run
             await until(lambda: len(server.ledger.calls) == 2)
-            server.agent.notice(f"outcome # {call} KILLED 5", b"")
+            server.agent.notice(f"outcome # {run_id} KILLED 5", b"")
             assert "error" in await router.answer(2)
             await until(lambda: not server.app.peers.ledger.connections)
             assert server.ledger.connections == 1
@@ -213,7 +213,7 @@
     play(check)
 
 
-def test_a_call_that_waits_gets_the_descriptor_of_a_resting_connection(
+def test_a_waiting_call_gets_the_descriptor_of_an_idle_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(ledger, "MIN_IDLE_TIME", 60.0)
--- a/tests/server/test_interleavings.py
+++ b/tests/server/test_interleavings.py
@@ -1,8 +1,8 @@
-"""Drawn interleavings of requests, ends of streams, resets, link breaks and the notice to leave.
+"""Random interleavings of requests, closed streams, resets, broken agent connections and the drain.
 
-Real sockets, fixed seeds. Whatever crosses whatever: one answer for each request that was written whole on a
-connection that its router did not reset or take back, at most one run of a key within its window, and nothing
-left of connections, descriptors and tasks at the end.
+The tests use real sockets and fixed seeds. In every order, each request that was sent completely and not
+cancelled gets exactly one answer, unless its router reset the connection; a key runs at most once within its
+TTL; and no connection, descriptor or task is left at the end.
 """
 
 from __future__ import annotations
@@ -23,162 +23,180 @@
 from tests.peers import Site, play, site
 
 STEPS = 60
-ROUTERS_MOST = 6
+MAX_ROUTERS = 6
 KEYS = ("k1", "k2", "k3")
-KEY_WINDOW = 3.0  # seconds, of the class "pay" in the settings of these tests
-NONSENSE = b"nonsense\r\n\r\n"
+KEY_TTL = 3.0  # seconds, as for the class "pay" in `CONFIG`
+UNFRAMED = b"nonsense\r\n\r\n"  # a header without a Content-Length
 
 
 @dataclass
-class Peer:
-    """One router's connection and what it may expect of it."""
+class RouterConnection:
+    """The connection of one router, and the answers that it expects.
+
+    Attributes:
+        expected: requests that must get exactly one answer.
+        cancelled: requests that get at most one answer.
+        unsent: the rest of a partially sent request, whose id is `unsent_id`.
+        sends: whether the router still sends.
+        reset: whether the router has reset the connection.
+    """
 
     router: Router
-    owed: set[int] = field(default_factory=set)
-    released: set[int] = field(default_factory=set)  # taken back: one answer at most
-    rest: bytes = b""  # of a request whose first half is written
-    rest_ref: int = 0
+    expected: set[int] = field(default_factory=set)
+    cancelled: set[int] = field(default_factory=set)
+    unsent: bytes = b""
+    unsent_id: int = 0
     sends: bool = True
     reset: bool = False
 
 
-class Play:
-    """One drawn sequence of events."""
+class RandomSequence:
+    """A random sequence of events on one server.
+
+    Attributes:
+        last_id: id of the latest request.
+        keyed: key and time of sending of each request with a key, by attempt id.
+        runs: attempt ids of the runs that the agent has not finished.
+    """
 
-    def __init__(self, running: Site, seed: int) -> None:
-        self.site, self.random = running, random.Random(seed)
-        self.peers: list[Peer] = []
-        self.refs = 0
-        self.keyed: dict[str, tuple[str, float]] = {}  # by name of a try: its key, and when it came
-        self.runs: list[str] = []  # begun and not ended by the agent
-        running.agent.on_launch = self.runs.append
+    def __init__(self, server: Site, seed: int) -> None:
+        self.site, self.random = server, random.Random(seed)
+        self.connections: list[RouterConnection] = []
+        self.last_id = 0
+        self.keyed: dict[str, tuple[str, float]] = {}
+        self.runs: list[str] = []
+        server.agent.on_launch = self.runs.append
 
-    def message(self) -> tuple[int, bytes]:
-        """A new request of either class, and its number."""
-        self.refs += 1
+    def new_message(self) -> tuple[int, bytes]:
+        """Return the id of a new request of either class, and the request with its header."""
+        self.last_id += 1
         now = time.time()
-        call = f"{self.refs:016x}"
+        attempt_id = f"{self.last_id:016x}"
         params = {
-            "call": call, "recv": int(now * 1000), "src": 1, "org": "one", "heap": 10.0, "crit": 0.5,
+            "call": attempt_id, "recv": int(now * 1000), "src": 1, "org": "one", "heap": 10.0, "crit": 0.5,
             "body": base64.b64encode(b"ask").decode(),
         }  # fmt: skip
         method = "look"
         if self.random.random() < 0.4:
             method, key = "pay", self.random.choice(KEYS)
             params["dedupe"] = key
-            self.keyed[call] = key, now
-        body = orjson.dumps({"jsonrpc": "2.0", "id": self.refs, "method": method, "params": params})
-        return self.refs, b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+            self.keyed[attempt_id] = key, now
+        body = orjson.dumps({"jsonrpc": "2.0", "id": self.last_id, "method": method, "params": params})
+        return self.last_id, b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
     async def step(self) -> None:
-        """One event."""
-        if len(self.peers) < ROUTERS_MOST and self.random.random() < 0.3:
-            self.peers.append(Peer(await self.site.router()))
-        usable = [peer for peer in self.peers if peer.sends]
-        events: list[Callable[[Peer], None]] = [
-            self.request, self.request, self.request, self.half, self.take_back, self.end_stream,
-            self.nonsense, self.reset_peer,
+        """Perform a random event, and with some probability finish a run and cut the agent's connection."""
+        if len(self.connections) < MAX_ROUTERS and self.random.random() < 0.3:
+            self.connections.append(RouterConnection(await self.site.router()))
+        sending = [connection for connection in self.connections if connection.sends]
+        events: list[Callable[[RouterConnection], None]] = [
+            self.send_request, self.send_request, self.send_request, self.send_partial_request,
+            self.cancel_request, self.end_stream, self.send_unframed, self.reset_connection,
         ]  # fmt: skip
-        if usable:
-            self.random.choice(events)(self.random.choice(usable))
+        if sending:
+            self.random.choice(events)(self.random.choice(sending))
         if self.random.random() < 0.5:
-            self.end_run()
+            self.finish_run()
         if self.random.random() < 0.05:
             self.site.agent.cut()
         for _ in range(self.random.randrange(4)):
             await asyncio.sleep(0)
 
-    def request(self, peer: Peer) -> None:
-        """A whole request, or what is left of one."""
-        if peer.rest:
-            peer.router.writer.write(peer.rest)
-            peer.owed.add(peer.rest_ref)
-            peer.rest = b""
+    def send_request(self, connection: RouterConnection) -> None:
+        """Send a complete request, or the rest of a partial one."""
+        if connection.unsent:
+            connection.router.writer.write(connection.unsent)
+            connection.expected.add(connection.unsent_id)
+            connection.unsent = b""
             return
-        ref, message = self.message()
-        peer.router.writer.write(message)
-        peer.owed.add(ref)
-
-    def half(self, peer: Peer) -> None:
-        """The first bytes of a request."""
-        if not peer.rest:
-            peer.rest_ref, message = self.message()
-            cut = self.random.randrange(1, len(message))
-            peer.router.writer.write(message[:cut])
-            peer.rest = message[cut:]
-
-    def take_back(self, peer: Peer) -> None:
-        """The router stops waiting for a request."""
-        if peer.owed and not peer.rest:
-            ref = self.random.choice(sorted(peer.owed))
-            peer.owed.discard(ref)
-            peer.released.add(ref)
-            peer.router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": ref}})
-
-    def end_stream(self, peer: Peer) -> None:
-        """The router sends nothing more and still reads."""
-        peer.sends = False
-        peer.router.writer.write_eof()
-
-    def nonsense(self, peer: Peer) -> None:
-        """Bytes that cannot be read; what comes behind them is nobody's."""
-        if not peer.rest:
-            peer.sends = False
-            peer.router.writer.write(NONSENSE)
-
-    def reset_peer(self, peer: Peer) -> None:
-        """The router's side resets the connection."""
+        request_id, message = self.new_message()
+        connection.router.writer.write(message)
+        connection.expected.add(request_id)
+
+    def send_partial_request(self, connection: RouterConnection) -> None:
+        """Send the first bytes of a request."""
+        if not connection.unsent:
+            connection.unsent_id, message = self.new_message()
+            length = self.random.randrange(1, len(message))
+            connection.router.writer.write(message[:length])
+            connection.unsent = message[length:]
+
+    def cancel_request(self, connection: RouterConnection) -> None:
+        """Cancel a request that is not answered yet."""
+        if connection.expected and not connection.unsent:
+            request_id = self.random.choice(sorted(connection.expected))
+            connection.expected.discard(request_id)
+            connection.cancelled.add(request_id)
+            connection.router.send(
+                {"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": request_id}}
+            )
+
+    def end_stream(self, connection: RouterConnection) -> None:
+        """Close the sending side of the connection; the router still reads."""
+        connection.sends = False
+        connection.router.writer.write_eof()
+
+    def send_unframed(self, connection: RouterConnection) -> None:
+        """Send bytes that cannot be framed, after which the server reads nothing more."""
+        if not connection.unsent:
+            connection.sends = False
+            connection.router.writer.write(UNFRAMED)
+
+    def reset_connection(self, connection: RouterConnection) -> None:
+        """Abort the connection on the router's side."""
         if self.random.random() < 0.3:
-            peer.sends, peer.reset = False, True
-            peer.router.writer.transport.abort()
+            connection.sends, connection.reset = False, True
+            connection.router.writer.transport.abort()
 
-    def end_run(self) -> None:
-        """The agent ends a run."""
+    def finish_run(self) -> None:
+        """Let the agent finish a run, with success or as failed."""
         if self.runs:
-            call = self.runs.pop(self.random.randrange(len(self.runs)))
+            attempt_id = self.runs.pop(self.random.randrange(len(self.runs)))
             if self.random.random() < 0.8:
-                self.site.agent.passed(call)
+                self.site.agent.passed(attempt_id)
             else:
-                self.site.agent.notice(f"outcome # {call} FAIL 5", b"")
+                self.site.agent.notice(f"outcome # {attempt_id} FAIL 5", b"")
 
     def check(self) -> None:
-        """The rules, once the process has ended."""
-        for peer in self.peers:
-            if peer.reset:
+        """Check the invariants after the process has ended."""
+        for connection in self.connections:
+            if connection.reset:
                 continue
-            answers = {ref: len(peer.router.of(ref)) for ref in peer.owed}
-            assert answers == dict.fromkeys(peer.owed, 1)
-            assert all(len(peer.router.of(ref)) <= 1 for ref in peer.released)
-        calls = dict.fromkeys(call for call, *_ in self.site.agent.launched if call in self.keyed)
-        last: dict[str, float] = {}
-        for key, came in (self.keyed[call] for call in calls):
-            assert came >= last.get(key, 0.0) + KEY_WINDOW
-            last[key] = came
+            answers = {id_: len(connection.router.of(id_)) for id_ in connection.expected}
+            assert answers == dict.fromkeys(connection.expected, 1)
+            assert all(len(connection.router.of(id_)) <= 1 for id_ in connection.cancelled)
+        keyed_runs = dict.fromkeys(
+            attempt for attempt, *_ in self.site.agent.launched if attempt in self.keyed
+        )
+        last_sent: dict[str, float] = {}
+        for key, sent_at in (self.keyed[attempt_id] for attempt_id in keyed_runs):
+            assert sent_at >= last_sent.get(key, 0.0) + KEY_TTL
+            last_sent[key] = sent_at
         app = self.site.app
         assert (app.descriptors.inbound, app.descriptors.outbound) == (0, 0)
         assert not app.listener.connections
-        names = [getattr(task.get_coro(), "__qualname__", "") for task in asyncio.all_tasks()]
-        assert Connection.run.__qualname__ not in names
+        task_names = [getattr(task.get_coro(), "__qualname__", "") for task in asyncio.all_tasks()]
+        assert Connection.run.__qualname__ not in task_names
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_whatever_crosses_whatever_the_rules_hold(seed: int) -> None:
+def test_the_invariants_hold_for_random_interleavings(seed: int) -> None:
     async def check() -> None:
         async with site(stop_ms=900) as server:
-            drawn = Play(server, seed)
-            notice = drawn.random.randrange(STEPS // 2, STEPS)
-            for number in range(STEPS):
-                if number == notice:
+            sequence = RandomSequence(server, seed)
+            drain_step = sequence.random.randrange(STEPS // 2, STEPS)
+            for step in range(STEPS):
+                if step == drain_step:
                     server.app.request_drain()
                 if server.app.phase in (Phase.SERVING, Phase.DRAINING):
-                    await drawn.step()
+                    await sequence.step()
             server.agent.on_launch = server.agent.passed
-            for call in drawn.runs:
-                server.agent.passed(call)
+            for attempt_id in sequence.runs:
+                server.agent.passed(attempt_id)
             await until(server.running.done)
             assert server.running.exception() is None
-            for peer in drawn.peers:
-                await peer.router.task
-            drawn.check()
+            for connection in sequence.connections:
+                await connection.router.task
+            sequence.check()
 
     play(check)
--- a/tests/server/test_peer_faults.py
+++ b/tests/server/test_peer_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of a whole server: stalls, short descriptors, faults inside, signals, the real process."""
+"""A whole server with stalled or broken peers, internal exceptions and signals, and the real process."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
 from tests.test_config import CONFIG
 
 
-def test_after_a_stall_what_came_in_is_read_before_time_outs_are_told() -> None:
+def test_after_a_stall_of_the_loop_waiting_messages_are_read_before_timeouts_count() -> None:
     async def check() -> None:
         async with site() as server:
             server.agent.on_launch = server.agent.keep_running
             router = await server.router()
-            call = router.request(1, "pay", dedupe="k")
+            attempt_id = router.request(1, "pay", dedupe="k")
             await until(lambda: server.agent.launched)
-            server.agent.passed(call)  # lies in the socket
-            time.sleep(1.1)  # the loop stands still until after the request's due time
+            server.agent.passed(attempt_id)  # waits in the socket
+            time.sleep(1.1)  # stalls the event loop beyond the request's due time
             assert "result" in await router.answer(1)
 
     play(check)
 
 
-def test_a_fault_in_reading_costs_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_while_reading_ends_only_its_own_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             other = await server.router()
-            real = jsonrpc.decode
+            real_decode = jsonrpc.decode
 
             def failing(body: bytes) -> jsonrpc.Message | None:
                 if b"poison" in body:
                     raise RuntimeError("injected")
-                return real(body)
+                return real_decode(body)
 
             monkeypatch.setattr(jsonrpc, "decode", failing)
             router.send({"jsonrpc": "2.0", "id": 2, "method": "poison"})
             other.request(3)
             await until(lambda: len(server.agent.launched) == 2)
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             server.agent.passed(f"{3:016x}")
             assert "result" in await router.answer(1)
             assert "result" in await other.answer(3)
@@ -65,22 +65,24 @@
     play(check)
 
 
-def test_a_router_that_does_not_read_is_not_read_from() -> None:
+def test_the_server_stops_reading_from_a_router_that_reads_no_answers() -> None:
     async def check() -> None:
         async with site(domain={"cores": 40, "memory-kb": 1e6}) as server:
             address = server.app.config.listen
             assert address
-            slow = socket.socket()
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            slow.connect((address.host, address.port))
-            slow.setblocking(False)
-            body = orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "alive"})
+            client = socket.socket()
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            client.connect((address.host, address.port))
+            client.setblocking(False)
+            health_check = orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "alive"})
             sent, loop = 0, asyncio.get_running_loop()
-            while sent < 200_000:  # asks without end, never reads
-                ask = orjson.dumps({"jsonrpc": "2.0", "id": sent + 1, "method": "x" * 200})
+            while sent < 200_000:  # more than all buffers hold
+                message = orjson.dumps({"jsonrpc": "2.0", "id": sent + 1, "method": "x" * 200})
                 try:
                     async with asyncio.timeout(0.3):
-                        await loop.sock_sendall(slow, b"Content-Length: %d\r\n\r\n%b" % (len(ask), ask))
+                        await loop.sock_sendall(
+                            client, b"Content-Length: %d\r\n\r\n%b" % (len(message), message)
+                        )
                 except TimeoutError:
                     break
                 sent += 1
@@ -88,31 +90,31 @@
             (connection,) = server.app.listener.connections
             assert len(connection.outgoing) <= 2000
             router = await server.router()
-            router.send(body)
+            router.send(health_check)
             await router.answer(1)
-            slow.close()
+            client.close()
 
     play(check)
 
 
-def test_a_notice_to_leave_that_comes_twice_or_early_changes_nothing() -> None:
+def test_a_second_drain_request_changes_nothing() -> None:
     async def check() -> None:
         async with site(stop_ms=300) as server:
             server.app.request_drain()
-            at = server.app.stop_at
+            stop_at = server.app.stop_at
             server.app.request_drain()
-            assert server.app.stop_at == at
+            assert server.app.stop_at == stop_at
             await until(server.running.done)
             assert server.app.phase is Phase.ENDED
 
     play(check)
 
 
-def test_a_membership_service_that_is_down_does_no_harm() -> None:
+def test_requests_are_served_while_the_membership_service_is_down() -> None:
     async def check() -> None:
         async with site() as server:
             server.members.socket.close()
-            for _ in range(3):  # the second report learns that nobody takes the first
+            for _ in range(3):  # the second report gets the error of the first
                 server.app.peers.members._report()
                 await asyncio.sleep(0)
             server.app.peers.members.put(messages.ReportStatus(False))
@@ -125,7 +127,7 @@
     play(check)
 
 
-def test_a_router_that_stalls_in_mid_message_holds_up_nobody() -> None:
+def test_a_router_that_stalls_within_a_message_delays_neither_others_nor_the_drain() -> None:
     async def check() -> None:
         async with site(stop_ms=600) as server:
             stalled, router = await server.router(), await server.router()
@@ -141,7 +143,7 @@
     play(check)
 
 
-def test_phases_cannot_be_skipped() -> None:
+def test_no_phase_can_be_skipped() -> None:
     async def check() -> None:
         async with site() as server:
             with pytest.raises(RuntimeError, match="serving is not followed by ended"):
@@ -150,7 +152,7 @@
     play(check)
 
 
-def test_the_process_serves_from_a_file_and_drains_on_sigterm(tmp_path: Path) -> None:
+def test_the_process_serves_by_its_file_reloads_on_sighup_and_drains_on_sigterm(tmp_path: Path) -> None:
     async def check() -> None:
         agent, ledger, members = peers.Agent(), peers.Ledger(), peers.Members()
         await agent.start()
@@ -178,7 +180,7 @@
         process.send_signal(signal.SIGHUP)
         await until(lambda: b"HB n3 UP" in moved.reports())
         process.send_signal(signal.SIGTERM)
-        process.send_signal(signal.SIGHUP)  # while draining too
+        process.send_signal(signal.SIGHUP)  # must do no harm while draining
         _, errors = await process.communicate()
         assert process.returncode == 0
         lines = [orjson.loads(line) for line in errors.splitlines()]
