--- a/shelfhaven/server/idempotency_keys.py
+++ b/shelfhaven/server/idempotency_keys.py
@@ -15,7 +15,7 @@
 from shelfhaven.server.actors import KeyStore
 from shelfhaven.server.clocks import Clocks
 from shelfhaven.server.key_table import KeyEntry, KeyTable
-from shelfhaven.server.request import DIGEST_BYTES, NEVER_STARTED, Request, RequestKey
+from shelfhaven.server.request import DIGEST_BYTES, NEVER_STARTED_OUTCOMES, Request, RequestKey
 from shelfhaven.server.request_table import RequestTable
 from shelfhaven.server.result_store import ResultStore
 
@@ -111,7 +111,7 @@
         if not (request.intent_recorded and self.store):
             return False
         request.intent_recorded = False
-        if completion.outcome in NEVER_STARTED:
+        if completion.outcome in NEVER_STARTED_OUTCOMES:
             self.store.discard_intent(request.key_digest)
             return False
         result = completion.body if completion.outcome is Outcome.OK else None
--- a/shelfhaven/server/request.py
+++ b/shelfhaven/server/request.py
@@ -16,7 +16,7 @@
 from shelfhaven.server import messages
 
 DIGEST_BYTES = 16  # 128 bits make an accidental collision of two keys of a fleet negligible
-NEVER_STARTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED)  # the run never started
+NEVER_STARTED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED)  # the run never started
 FAILED_OUTCOMES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)  # the run may have had its effect
 
 
--- a/shelfhaven/server/request_completion.py
+++ b/shelfhaven/server/request_completion.py
@@ -19,7 +19,7 @@
 from shelfhaven.server.idempotency_keys import IdempotencyKeys
 from shelfhaven.server.request import (
     FAILED_OUTCOMES,
-    NEVER_STARTED,
+    NEVER_STARTED_OUTCOMES,
     NOT_STARTED_STATES,
     AnswerState,
     Request,
@@ -54,7 +54,7 @@
         self.cancel_call(request)
         if self.keys.record_outcome(request, completion):
             return  # `OutcomeRecorded` leads to `complete_recorded_run`
-        if completion.outcome in NEVER_STARTED:
+        if completion.outcome in NEVER_STARTED_OUTCOMES:
             request.launched = False  # a rejection may again promise that the attempt never ran
             if request.may_run_elsewhere:  # its caller cancelled it after the controller had started it
                 self.keys.withdrawn.append(request)
--- a/tests/server/core_bench.py
+++ b/tests/server/core_harness.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Sink:
+class RecordingActor:
     """Stub of an actor or a frontend that records the messages that it receives."""
 
     received: list[Any] = field(default_factory=list)
@@ -59,7 +59,7 @@
             wall=lambda: 5000.0 + self.now,
         )
         self.runner, self.downstream, self.membership, self.frontends, self.frontend = (
-            Sink() for _ in range(5)
+            RecordingActor() for _ in range(5)
         )
         self.core.actors.connect([self.runner] * 2, self.downstream, self.membership, self.frontends)
         self.send(messages.RunnerConnected(True, 0.0))
--- a/tests/server/test_core.py
+++ b/tests/server/test_core.py
@@ -10,7 +10,7 @@
 from shelfhaven.decision.events import Event, RequestArrived, TimerFired
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.server import messages
-from tests.server.core_bench import PAY, CoreHarness, Sink, run_with_harness, with_harness
+from tests.server.core_harness import PAY, CoreHarness, RecordingActor, run_with_harness, with_harness
 
 
 @with_harness
@@ -361,7 +361,7 @@
 
 @with_harness
 def test_runs_lost_by_one_runner_leave_those_of_another_running(harness: CoreHarness) -> None:
-    other = Sink()
+    other = RecordingActor()
     harness.core.actors.runners = [harness.runner, other]
     first, second = harness.submit(1), harness.submit(2, PAY, "k")
     assert [launch.attempt_id for launch in other.of(messages.LaunchRun)] == [second]
--- a/tests/server/test_core_durability.py
+++ b/tests/server/test_core_durability.py
@@ -10,7 +10,7 @@
 
 from shelfhaven.lab.state_model import Mistake, search
 from shelfhaven.server import messages
-from tests.server.core_bench import LOOK, PAY, CoreHarness, with_harness
+from tests.server.core_harness import LOOK, PAY, CoreHarness, with_harness
 
 
 class KeyStoreStub:
--- a/tests/server/test_core_faults.py
+++ b/tests/server/test_core_faults.py
@@ -7,7 +7,7 @@
 from shelfhaven.decision.actions import Action
 from shelfhaven.decision.events import CallNeeded, Event, RequestArrived, RunFinished, TimerFired
 from shelfhaven.server import messages
-from tests.server.core_bench import CoreHarness, with_harness
+from tests.server.core_harness import CoreHarness, with_harness
 
 
 @pytest.mark.parametrize("event_type", [RequestArrived, RunFinished, CallNeeded, TimerFired])
--- a/tests/server/test_core_keys.py
+++ b/tests/server/test_core_keys.py
@@ -6,7 +6,7 @@
 
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.server import messages
-from tests.server.core_bench import LOOK, PAY, CoreHarness, with_harness
+from tests.server.core_harness import LOOK, PAY, CoreHarness, with_harness
 
 
 @with_harness
--- a/tests/server/test_request.py
+++ b/tests/server/test_request.py
@@ -10,7 +10,7 @@
 from shelfhaven.server import messages
 from shelfhaven.server.request import AnswerState, Request, WorkState, content_digest
 from shelfhaven.server.request_table import RequestTable
-from tests.server.core_bench import CoreHarness, with_harness
+from tests.server.core_harness import CoreHarness, with_harness
 
 
 class Frontend:
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -11,7 +11,7 @@
 from shelfhaven.server.clocks import Clocks
 from shelfhaven.server.request_table import RequestTable
 from shelfhaven.server.timers import Timers
-from tests.server.core_bench import Sink
+from tests.server.core_harness import RecordingActor
 
 
 class TimerBench:
@@ -20,9 +20,9 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.clocks = Clocks(lambda: self.now, lambda: 0.0)
-        self.runner = Sink()
+        self.runner = RecordingActor()
         actors = ConnectedActors()
-        actors.connect([self.runner], Sink(), Sink(), Sink())
+        actors.connect([self.runner], RecordingActor(), RecordingActor(), RecordingActor())
         self.fired: list[TimerFired] = []
         self.settled = 0
         self.timers = Timers(self.clocks, RequestTable(), actors, self.fired.append, self.settle)
