--- a/shelfhaven/program/singleton_tasks.py
+++ b/shelfhaven/program/singleton_tasks.py
@@ -152,7 +152,7 @@
             return []
         if not _only_endpoints_differ(store, store_before):
             return ["duties agree"]
-        self.actor.store.move(store.endpoints)  # type: ignore[attr-defined]
+        self.actor.store.set_endpoints(store.endpoints)  # type: ignore[attr-defined]
         self.actor.store_replaced()
         self.config = config
         return []
