--- a/shelfhaven/membership/etcd_channel.py
+++ b/shelfhaven/membership/etcd_channel.py
@@ -1,7 +1,7 @@
-"""Calls to an etcd-like service: one gRPC channel at a time, to its endpoints in rotation.
+"""Calls to a service with the etcd v3 API over one gRPC channel, with round-robin failover between endpoints.
 
-When to call, and what an answer means, is decided by the callers. Imported only where an operator's file
-names such a service: gRPC takes some 14 MB of memory.
+The callers decide when to call and how to interpret a response. Import this module only if the operator
+configuration names such a service: gRPC takes about 14 MB of memory.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from shelfhaven.server.log import Log
 
-# Methods of the published etcd v3 interface.
+# Methods of the etcd v3 API.
 RANGE = "/etcdserverpb.KV/Range"
 PUT = "/etcdserverpb.KV/Put"
 TXN = "/etcdserverpb.KV/Txn"
@@ -26,16 +26,16 @@
 KEEP_ALIVE = "/etcdserverpb.Lease/LeaseKeepAlive"
 WATCH = "/etcdserverpb.Watch/Watch"
 
-PUSHBACK = "grpc-retry-pushback-ms"  # the gRPC retry design's metadata key for Retry-After
+PUSHBACK = "grpc-retry-pushback-ms"  # metadata key in which the gRPC retry design returns a retry delay
 MAX_MESSAGE_BYTES = 16 << 20
 MAX_RETRY_AFTER_S = 3600.0
-CLOSE_GRACE_S = 10.0  # for open calls when their channel is left; each has a shorter limit of its own
+CLOSE_GRACE_S = 10.0  # for open calls when their channel is replaced; each has a shorter timeout of its own
 MAX_LOGGED_ERROR_CHARS = 300
 
-# What a call without an answer raises.
+# Exceptions that a call raises if it gets no response.
 CALL_ERRORS = (grpc.aio.AioRpcError, grpc.aio.UsageError, OSError, TimeoutError, ValueError)
 
-# Whether to call at all is decided by the callers' own backoff, so that gRPC's is kept short.
+# gRPC's own reconnect backoff is short because the callers have a backoff of their own.
 CHANNEL_OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
@@ -48,18 +48,19 @@
 
 ResponseT = TypeVar("ResponseT", bound=Message)
 
-# A `grpc.aio.StreamStreamCall`, whose own type does not tell a response from the end of the stream.
+# A `grpc.aio.StreamStreamCall`. Any, because its type does not distinguish a response from the end of the
+# stream.
 StreamCall: TypeAlias = Any
 
 
 def range_end(prefix: bytes) -> bytes:
-    """The first key after all that begin with the prefix, as etcd wants the end of a range."""
-    stem = prefix.rstrip(b"\xff")
-    return stem[:-1] + bytes([stem[-1] + 1]) if stem else b"\0"
+    """Return the end of the etcd range of all keys with this prefix: the first key after them."""
+    trimmed = prefix.rstrip(b"\xff")
+    return trimmed[:-1] + bytes([trimmed[-1] + 1]) if trimmed else b"\0"
 
 
 def retry_after_of(error: Exception) -> float | None:
-    """Seconds after which the service wants to be called again; None if it says nothing."""
+    """Return the retry delay in seconds that the service requested, or None."""
     if not isinstance(error, grpc.aio.AioRpcError):
         return None
     for name, value in error.trailing_metadata() or ():
@@ -70,15 +71,15 @@
 
 
 def status_code_of(error: Exception) -> grpc.StatusCode | None:
-    """The status code of the service, if it gave one."""
+    """Return the gRPC status code of an error, or None if it has none."""
     return error.code() if isinstance(error, grpc.aio.AioRpcError) else None
 
 
 @contextlib.contextmanager
 def closed_channel_as_error() -> Iterator[None]:
-    """Turn a cancellation that nobody asked for into ConnectionAbortedError.
+    """Raise ConnectionAbortedError if a call is cancelled because its channel was closed.
 
-    gRPC cancels calls whose channel is closed. A cancellation that was asked for passes unchanged.
+    gRPC cancels the open calls of a closed channel. A cancellation of the current task passes unchanged.
     """
     try:
         yield
@@ -86,60 +87,60 @@
         task = asyncio.current_task()
         if task is None or task.cancelling():
             raise
-        raise ConnectionAbortedError("the channel was closed under a call") from None
+        raise ConnectionAbortedError("the channel was closed during a call") from None
 
 
 class EtcdChannel:
-    """One node's channel to the service."""
+    """The current channel to the service, and the endpoints for the next one."""
 
-    def __init__(self, endpoints: Sequence[str], log: Log, event: str, anew: bool = False) -> None:
+    def __init__(self, endpoints: Sequence[str], log: Log, failure_event: str, anew: bool = False) -> None:
         self.log = log
-        self.event = event  # name of the log event for failures
-        # A channel that failed is left even where there is no other endpoint: gRPC's backoff would add to
-        # that of the caller.
+        self.failure_event = failure_event  # name of the log event for failures
+        # Whether to replace the channel after a failure even if there is only one endpoint, since otherwise
+        # gRPC's backoff adds to that of the caller.
         self.anew = anew
         self.endpoints = list(endpoints)
         self.rotation = cycle(self.endpoints)
         self.channel: grpc.aio.Channel | None = None
-        self.closing: set[asyncio.Task[None]] = set()
-        self.request_count = 0  # for the log
+        self.closing_tasks: set[asyncio.Task[None]] = set()
+        self.request_count = 0  # reported in the log
 
     def move(self, endpoints: Sequence[str]) -> None:
-        """Use other endpoints from now on; the open channel is closed."""
+        """Replace the endpoints; the current channel is closed."""
         self.endpoints = list(endpoints)
         self.rotation = cycle(self.endpoints)
         self.drop()
 
     def drop(self) -> None:
-        """Use the next endpoint from now on; calls that are open end as they would."""
+        """Use the next endpoint for further calls; open calls have a grace period to finish."""
         if self.channel:
             task = asyncio.ensure_future(self.channel.close(CLOSE_GRACE_S))
-            self.closing.add(task)
-            task.add_done_callback(self.closing.discard)
+            self.closing_tasks.add(task)
+            task.add_done_callback(self.closing_tasks.discard)
             self.channel = None
 
     async def end(self) -> None:
-        """Close what is open."""
+        """Close the current channel, and stop waiting for the calls of earlier ones."""
         if self.channel:
             channel = self.channel
             self.channel = None
             await channel.close()
-        for task in list(self.closing):
+        for task in list(self.closing_tasks):
             task.cancel()
 
     def report_failure(self, error: Exception) -> None:
-        """Log a failure, and use another endpoint next, unless the service is only overloaded."""
+        """Log a failure; switch to the next endpoint unless the service reported that it is overloaded."""
         code = status_code_of(error)
         text = f"{code.name if code else type(error).__name__}: {error}"
-        self.log.event(self.event, error=text[:MAX_LOGGED_ERROR_CHARS])
+        self.log.event(self.failure_event, error=text[:MAX_LOGGED_ERROR_CHARS])
         overloaded = code is grpc.StatusCode.RESOURCE_EXHAUSTED
         if not overloaded and (self.anew or len(self.endpoints) > 1):
             self.drop()
 
     def call(self, method: str, request: Message, response: type[ResponseT]) -> Awaitable[ResponseT]:
-        """Send one request for one response, which the result waits for."""
+        """Start a unary call; await the result for the response."""
         self.request_count += 1
-        call: Callable[[Message], Awaitable[ResponseT]] = self.open().unary_unary(
+        call: Callable[[Message], Awaitable[ResponseT]] = self._open_channel().unary_unary(
             method,
             request_serializer=type(request).SerializeToString,
             response_deserializer=response.FromString,
@@ -147,15 +148,15 @@
         return call(request)
 
     def stream(self, method: str, request: type[Message], response: type[ResponseT]) -> StreamCall:
-        """Open a stream in both directions."""
+        """Start a bidirectional streaming call."""
         self.request_count += 1
-        call = self.open().stream_stream(
+        call = self._open_channel().stream_stream(
             method, request_serializer=request.SerializeToString, response_deserializer=response.FromString
         )
         return call()
 
-    def open(self) -> grpc.aio.Channel:
-        """The channel to the endpoint whose turn it is."""
+    def _open_channel(self) -> grpc.aio.Channel:
+        """Return the current channel; open one to the next endpoint if there is none."""
         if self.channel is None:
             self.channel = grpc.aio.insecure_channel(next(self.rotation), options=CHANNEL_OPTIONS)
         return self.channel
--- a/shelfhaven/membership/etcd_client.py
+++ b/shelfhaven/membership/etcd_client.py
@@ -1,9 +1,10 @@
-"""The list service over the etcd v3 interface: reads, a watch, and the lease of a node's registration.
+"""Client of a list service with the etcd v3 API: list reads, a watch, and the lease of a node's registration.
 
-Carries out the actions of a member and reports their results as events. When and how often to call, and what
-an answer means, is decided by the member. Every call has a time limit and ends in exactly one event.
+It carries out the actions of a member and reports their results as events. The member decides when to call
+and how to interpret a result. Every call has a timeout. Each read, registration and renewal ends in exactly
+one event, and a watch that is not stopped in exactly one `WatchLost`.
 
-Imported only where an operator's file names such a service: gRPC takes some 14 MB of memory.
+Import this module only if the operator configuration names such a service: gRPC takes about 14 MB of memory.
 """
 
 from __future__ import annotations
@@ -50,22 +51,22 @@
 from shelfhaven.protocol.pb import etcd_pb2 as pb
 from shelfhaven.server.log import Log
 
-PAGE = 2000  # entries of one answer
-MAX_ENTRIES = 100_000  # of a complete list; more is no list of a fleet
-PROGRESS_EVERY = 5.0  # seconds between two requests for a watch's progress
+PAGE_ENTRIES = 2000  # entries in one response
+MAX_ENTRIES = 100_000  # in a complete list; no fleet has a longer one
+PROGRESS_INTERVAL_S = 5.0  # between requests for the progress of a watch
 
 ReportEvent: TypeAlias = Callable[[Event], None]
 
 
 class _ListEntry(NamedTuple):
-    """An entry of the list under its key."""
+    """An entry of the endpoint list with its key."""
 
     key: str
     endpoint: Endpoint
 
 
 class EtcdListService:
-    """One node's client of the list service."""
+    """A node's client of the list service."""
 
     def __init__(
         self, endpoints: Sequence[str], prefix: str, timeout: float, report: ReportEvent, log: Log
@@ -80,24 +81,24 @@
 
     @property
     def request_count(self) -> int:
-        """Requests so far, for the log."""
+        """Number of requests sent so far, reported in the log."""
         return self.channel.request_count
 
     def move(self, endpoints: Sequence[str]) -> None:
-        """Use other endpoints from now on; what is open ends."""
+        """Replace the endpoints; the current channel is closed."""
         self.channel.move(endpoints)
 
     def carry_out(self, action: Action, key: str = "", value: str = "") -> None:
-        """Carry out an action; `key` and `value` are the node's entry on the list."""
+        """Start an action; `key` and `value` are the entry with which the node registers."""
         match action:
             case ReadList():
-                self._spawn(self._read(), ListOperation.READ)
+                self._start_call(self._read(), ListOperation.READ)
             case RegisterSelf():
-                self._spawn(self._register(action.ttl, key, value), ListOperation.REGISTER)
+                self._start_call(self._register(action.ttl, key, value), ListOperation.REGISTER)
             case RenewLease():
-                self._spawn(self._renew(action.lease_id), ListOperation.RENEW)
+                self._start_call(self._renew(action.lease_id), ListOperation.RENEW)
             case DeregisterSelf():
-                self._spawn(self._revoke(action.lease_id), None)
+                self._start_call(self._revoke(action.lease_id), None)
             case WatchList():
                 self.stop_watch()
                 self.watch_task = asyncio.ensure_future(self._watch(action.after_revision))
@@ -105,31 +106,29 @@
                 self.stop_watch()
 
     def stop_watch(self) -> None:
-        """Close the watch."""
+        """Cancel the watch without reporting its end."""
         if self.watch_task:
             self.watch_task.cancel()
             self.watch_task = None
 
     async def end(self) -> None:
-        """End all calls."""
+        """Stop the watch, wait for the other calls until the timeout, and close the channel."""
         self.stop_watch()
-        if self.call_tasks:  # the revocation of a lease is sent
+        if self.call_tasks:  # one may be the revocation of the lease
             calls = asyncio.gather(*self.call_tasks, return_exceptions=True)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(calls, self.timeout)
         await self.channel.end()
 
-    # Calls with one answer
+    # Calls with one response
 
-    def _spawn(self, call: Coroutine[None, None, None], operation: ListOperation | None) -> None:
-        task = asyncio.ensure_future(self._report_failure(call, operation))
+    def _start_call(self, call: Coroutine[None, None, None], operation: ListOperation | None) -> None:
+        task = asyncio.ensure_future(self._run_call(call, operation))
         self.call_tasks.add(task)
         task.add_done_callback(self.call_tasks.discard)
 
-    async def _report_failure(
-        self, call: Coroutine[None, None, None], operation: ListOperation | None
-    ) -> None:
-        """Run a call within its time limit, and report its failure once."""
+    async def _run_call(self, call: Coroutine[None, None, None], operation: ListOperation | None) -> None:
+        """Run a call within the timeout; if it fails, log the error and report the operation as failed."""
         try:
             with closed_channel_as_error():
                 async with asyncio.timeout(self.timeout):
@@ -140,22 +139,22 @@
                 self.report(ListServiceFailed(operation, retry_after_of(error)))
 
     async def _read(self) -> None:
-        """The complete list, page by page, all of one revision."""
+        """Read the complete list page by page, all pages at the revision of the first."""
         items: dict[str, Endpoint] = {}
         key = self.prefix
         end = range_end(self.prefix)
         revision = 0
         store = ""
         while True:
-            request = pb.RangeRequest(key=key, range_end=end, limit=PAGE, revision=revision)
+            request = pb.RangeRequest(key=key, range_end=end, limit=PAGE_ENTRIES, revision=revision)
             response = await self.channel.call(RANGE, request, pb.RangeResponse)
             revision = revision or response.header.revision
-            store = store or _store_of(response.header)
-            items |= dict(self._entry_of(kv) for kv in response.kvs)
+            store = store or _store_name(response.header)
+            items |= dict(self._decode_entry(kv) for kv in response.kvs)
             if not response.more or not response.kvs:
                 break
             if len(items) > MAX_ENTRIES:
-                raise ValueError("a list of too many entries")
+                raise ValueError(f"the list has more than {MAX_ENTRIES} entries")
             key = response.kvs[-1].key + b"\0"
         self.report(ListReadCompleted(store, revision, items))
 
@@ -174,7 +173,7 @@
             await call.write(pb.LeaseKeepAliveRequest(ID=lease_id))
             response = await call.read()
             if response is grpc.aio.EOF:
-                raise ValueError("a renewal without an answer")
+                raise ValueError("the keep-alive stream ended without a response")
             self.report(LeaseRenewalAnswered(lease_lost=response.TTL <= 0))
         finally:
             call.cancel()
@@ -182,15 +181,15 @@
     async def _revoke(self, lease_id: int) -> None:
         await self.channel.call(REVOKE, pb.LeaseRevokeRequest(ID=lease_id), pb.LeaseRevokeResponse)
 
-    def _entry_of(self, kv: pb.KeyValue) -> _ListEntry:
+    def _decode_entry(self, kv: pb.KeyValue) -> _ListEntry:
         if not kv.key.startswith(self.prefix):
-            raise ValueError("a key that was not asked for")
+            raise ValueError("the service returned a key outside the requested range")
         return _ListEntry(kv.key[len(self.prefix) :].decode(), Endpoint(kv.value.decode(), kv.mod_revision))
 
     # The watch
 
     async def _watch(self, after_revision: int) -> None:
-        """One watch, from its request to its end."""
+        """Run a watch, and report its end."""
         compacted = False
         retry_after = None
         try:
@@ -203,26 +202,29 @@
         self.report(WatchLost(compacted, retry_after))
 
     async def _follow_watch(self, after_revision: int) -> bool:
-        """Report what a watch announces until the service ends it; whether its revisions were compacted."""
+        """Report the events of a watch until it ends.
+
+        Returns whether the service cancelled it because the requested revisions were compacted.
+        """
         call = self.channel.stream(WATCH, pb.WatchRequest, pb.WatchResponse)
         try:
             async with asyncio.timeout(self.timeout):
                 await call.write(pb.WatchRequest(create_request=self._watch_request(after_revision)))
                 response = await call.read()
             if response is not grpc.aio.EOF and response.created and not response.events:
-                # It says at which revision the store is, not that everything up to there has come.
+                # Its revision is that of the store; the events up to there have not been received yet.
                 response.header.revision = min(after_revision, response.header.revision)
-            progress = asyncio.ensure_future(self._request_progress(call))
+            progress_task = asyncio.ensure_future(self._request_progress(call))
             try:
                 while response is not grpc.aio.EOF:
                     if response.canceled:
                         return bool(response.compact_revision)
                     self._report_changes(response)
-                    async with asyncio.timeout(PROGRESS_EVERY + self.timeout):
+                    async with asyncio.timeout(PROGRESS_INTERVAL_S + self.timeout):
                         response = await call.read()
             finally:
-                progress.cancel()
-            raise ValueError("the watch was ended")
+                progress_task.cancel()
+            raise ValueError("the watch stream ended")
         finally:
             call.cancel()
 
@@ -235,31 +237,31 @@
         )
 
     async def _request_progress(self, call: StreamCall) -> None:
-        """Request the watch's progress: a list without changes is confirmed, and a dead watch is noticed."""
+        """Request progress regularly, which confirms an unchanged list and detects a dead watch."""
         with contextlib.suppress(grpc.aio.AioRpcError, grpc.aio.UsageError, asyncio.InvalidStateError):
             while True:
-                await asyncio.sleep(PROGRESS_EVERY)
+                await asyncio.sleep(PROGRESS_INTERVAL_S)
                 self.channel.request_count += 1
                 await call.write(pb.WatchRequest(progress_request=pb.WatchProgressRequest()))
 
     def _report_changes(self, response: pb.WatchResponse) -> None:
         put: dict[str, Endpoint] = {}
         removed: dict[str, None] = {}
-        for event in response.events:  # in the order of their revisions: the last one on a key counts
-            key, item = self._entry_of(event.kv)
+        for event in response.events:  # ordered by revision: the last event of a key is authoritative
+            key, item = self._decode_entry(event.kv)
             if event.type == pb.Event.DELETE:
                 removed[key] = None
                 put.pop(key, None)
             else:
                 put[key] = item
                 removed.pop(key, None)
-        # Events may come in several responses, each with the store's revision: what has come so far ends with
-        # the last event.
+        # The header has the store's revision even if some of the events up to it follow in another response,
+        # so the list is known only up to the last event received.
         revisions = (event.kv.mod_revision for event in response.events)
         revision = max(revisions, default=response.header.revision)
-        self.report(WatchEventReceived(_store_of(response.header), revision, put, tuple(removed)))
+        self.report(WatchEventReceived(_store_name(response.header), revision, put, tuple(removed)))
 
 
-def _store_of(header: pb.ResponseHeader) -> str:
-    """The name by which this program knows the service's store."""
+def _store_name(header: pb.ResponseHeader) -> str:
+    """Return the id of the etcd cluster as the name of the store."""
     return f"{header.cluster_id:x}"
