--- a/shelfhaven/membership/messages.py
+++ b/shelfhaven/membership/messages.py
@@ -1,9 +1,9 @@
-"""Events that a member is given and actions that it returns.
+"""Events that a member handles and actions that it returns.
 
-A member (`member.py`) is a pure state machine: whoever drives it (`actor.py` in a node, the membership
-simulation in virtual time) reports what happened as one of the events below and carries out the actions that
-come back. Neither side shares any other state. Durations are in seconds; a `retry_after` of None means that
-the other side named no time.
+A member (`member.py`) is a state machine without I/O. Its driver (`actor.py` in a node, the membership
+simulation in virtual time) passes it the events below and carries out the actions that it returns; the two
+share no other state. Durations are in seconds. A `retry_after` of None means that the other side requested no
+delay.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class ListOperation(Enum):
-    """What a member requests of the list service with one answer each."""
+    """A request of a member to the list service that gets one response."""
 
     READ = "read"
     REGISTER = "register"
@@ -33,14 +33,14 @@
     """A peer answered a poll."""
 
     peer: str
-    snapshot: ListSnapshot  # its list, or what changed since the version that it was polled with
+    snapshot: ListSnapshot  # its list, or the changes since the version that the poll named
     warm: bool = True
-    contacts: Sequence[str] = ()  # addresses of other peers that it knows
+    contacts: Sequence[str] = ()  # addresses of other peers known to it
 
 
 @dataclass(frozen=True, slots=True)
 class PeerFailed:
-    """A peer did not answer a poll, or answered that it is to be polled later."""
+    """A peer did not answer a poll, or asked to be polled later."""
 
     peer: str
     retry_after: float | None = None
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListReadCompleted:
-    """The list service answered with the complete list."""
+    """The list service returned the complete list."""
 
     store: str
     revision: int
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEventReceived:
-    """The list service announced changes up to a revision, or only that there are none."""
+    """The list service reported the changes up to a revision, possibly none."""
 
     store: str
     revision: int
@@ -76,13 +76,13 @@
 class WatchLost:
     """The watch ended."""
 
-    compacted: bool = False  # the service no longer has the revisions that the watch asked for
+    compacted: bool = False  # the service no longer has the revisions that the watch requested
     retry_after: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ListServiceFailed:
-    """A request to the list service got no answer, or an error."""
+    """A request to the list service failed or timed out."""
 
     operation: ListOperation
     retry_after: float | None = None
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SelfRegistered:
-    """The list service registered this node under a lease, whose time counts from the request."""
+    """The list service registered this node under a lease; its TTL counts from when it was requested."""
 
     lease_id: int
     ttl: float
@@ -98,24 +98,24 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewalAnswered:
-    """The list service answered a renewal."""
+    """The list service answered a request to renew the lease."""
 
-    lease_lost: bool = False  # it does not know the lease
+    lease_lost: bool = False  # the lease no longer exists
 
 
 @dataclass(frozen=True, slots=True)
 class NodeReady:
-    """The node takes requests and wants to be registered."""
+    """The node is ready for requests and is to be registered."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeLeaving:
-    """The node shuts down and wants its registration removed."""
+    """The node shuts down and is to be deregistered."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListServiceMoved:
-    """The list service is reached at other endpoints from now on."""
+    """The endpoints of the list service were reconfigured."""
 
 
 Event: TypeAlias = (
@@ -123,7 +123,7 @@
     | ListServiceFailed | SelfRegistered | LeaseRenewalAnswered | NodeReady | NodeLeaving | ListServiceMoved
 )  # fmt: skip
 
-# The log counts events under these names, which operators' queries rely on.
+# Names under which the log counts events. Operators' queries use them.
 LOGGED_EVENT_NAMES: Mapping[type[Event], str] = {
     PeerAnswered: "PeerTold",
     PeerFailed: "PeerFailed",
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PollPeer:
-    """Ask a peer for its list, or for what changed since this version."""
+    """Request a peer's list, or the changes since this version."""
 
     peer: str
     since: ListVersion
@@ -158,7 +158,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchList:
-    """Open a watch for the changes after this revision."""
+    """Open a watch for changes after this revision."""
 
     after_revision: int
 
@@ -184,14 +184,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DeregisterSelf:
-    """Revoke the lease, which removes the registration."""
+    """Revoke the lease, which deletes the registration."""
 
     lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ListChanged:
-    """The endpoint list is another than before; whatever depends on it is to be updated."""
+    """The endpoint list changed; everything that depends on it is to be updated."""
 
     outcome: MergeOutcome
 
--- a/shelfhaven/membership/peer_rpc.py
+++ b/shelfhaven/membership/peer_rpc.py
@@ -1,8 +1,8 @@
-"""Requests between nodes over HTTP, authenticated by keyed digests.
+"""HTTP requests between nodes, authenticated by keyed digests.
 
-A request carries a random nonce, and the digest of its answer covers that nonce, so that no answer can be
-passed for another's. Answers to polls are ordered by versions, so that an old one that is replayed has no
-effect; posts are taken once for each nonce. Whom to ask, and what to believe, is decided elsewhere
+Each request carries a random nonce, which the digest of its answer covers, so that an answer to one request
+is not valid for another. Answers to polls are ordered by version, so that a replayed old one has no effect.
+Posts are accepted once per nonce. Other modules decide which peers to poll and which answers to use
 (`member.py`).
 """
 
@@ -39,7 +39,7 @@
 DIGEST_HEADER = "X-Digest"
 NONCE_BYTES = 8
 
-# What a digest is for: each covers one of these words, so that none can be used for another purpose.
+# Each digest covers one of these, so that the digest of one kind of message is not valid for another.
 POLL_PURPOSE = b"ask"
 POST_PURPOSE = b"post"
 ANSWER_PURPOSE = b"answer"
@@ -49,18 +49,18 @@
 MAX_POST_BYTES = 64 << 10
 MAX_ADDRESS_CHARS = 256
 IDLE_CONNECTION_TIMEOUT_S = 10.0
-MAX_CONCURRENT_REQUESTS = 8  # of this node
-MAX_CONCURRENT_SLOW_POSTS = 64  # posts whose answers may take long, beside those
-MAX_CONCURRENT_POSTS_ANSWERED = 256
-MAX_REMEMBERED_NONCES = 16_384  # of posts, so that none is taken twice
-
-ANSWER_COST_PER_S = 50.0  # that this node spends on answers to polls
-MAX_SAVED_COST = 100.0
-ENTRIES_PER_COST = 200.0  # entries that cost as much as an answer without any
+MAX_CONCURRENT_REQUESTS = 8  # sent by this node, without slow posts
+MAX_CONCURRENT_SLOW_POSTS = 64  # sent by this node, whose answers may take long
+MAX_CONCURRENT_POSTS_ANSWERED = 256  # received from peers
+MAX_REMEMBERED_NONCES = 16_384  # of posts, to reject replayed ones
+
+ANSWER_BUDGET_PER_S = 50.0  # rate at which the budget for answers to polls refills
+MAX_ANSWER_BUDGET = 100.0  # size of that budget
+ENTRIES_PER_COST_UNIT = 200.0  # that cost as much as an answer without entries
 MIN_RETRY_AFTER_S = 0.5
 TORNADO_NO_ANSWER_STATUS = 599
 
-AnswerPoll = Callable[[str, ListVersion, bool], PeerAnswer]  # of a peer, since a version, with backends
+AnswerPoll = Callable[[str, ListVersion, bool], PeerAnswer]  # peer, its version, whether to add backends
 Route = Callable[[bytes], Awaitable[bytes]]
 PollQuery = TypedDict(
     "PollQuery",
@@ -69,10 +69,10 @@
 
 
 class PeerRpcError(ShelfhavenError):
-    """A request to a peer that got no good answer.
+    """A request to a peer failed.
 
-    `sent` tells whether the peer may have taken it, `retry_after` after how many seconds it may be repeated,
-    where the peer said so.
+    `sent` tells whether the peer may have received the request. `retry_after` is the delay in seconds that
+    the peer requested, or None.
     """
 
     def __init__(self, text: str, sent: bool, retry_after: float | None = None) -> None:
@@ -82,29 +82,31 @@
 
 
 class AnswerBudget:
-    """Bounds what this node spends on answers to polls, by a token bucket of costs."""
+    """Token bucket that bounds the cost of this node's answers to polls."""
 
     def __init__(self) -> None:
-        self._saved = MAX_SAVED_COST
+        self._available = MAX_ANSWER_BUDGET
         self._updated_at = time.monotonic()
 
     def try_spend(self, cost: float) -> bool:
-        """Spend the cost of an answer, if it is there; one that costs more than can be saved takes all."""
+        """Spend the cost of an answer if the budget allows it; a cost above the maximum spends all."""
         now = time.monotonic()
-        self._saved = min(MAX_SAVED_COST, self._saved + (now - self._updated_at) * ANSWER_COST_PER_S)
+        self._available = min(
+            MAX_ANSWER_BUDGET, self._available + (now - self._updated_at) * ANSWER_BUDGET_PER_S
+        )
         self._updated_at = now
-        if self._saved < min(max(cost, 1.0), MAX_SAVED_COST):
+        if self._available < min(max(cost, 1.0), MAX_ANSWER_BUDGET):
             return False
-        self._saved -= min(cost, self._saved)
+        self._available -= min(cost, self._available)
         return True
 
     def retry_after(self) -> float:
-        """Seconds after which a peer may poll again."""
-        return MIN_RETRY_AFTER_S + max(0.0, 1.0 - self._saved) / ANSWER_COST_PER_S
+        """Return the delay in seconds after which a rejected peer may poll again."""
+        return MIN_RETRY_AFTER_S + max(0.0, 1.0 - self._available) / ANSWER_BUDGET_PER_S
 
 
 class PeerRpc:
-    """Both sides of one node's requests to and from its peers."""
+    """Client and server for the requests between this node and its peers."""
 
     def __init__(
         self, listen: Address, secret: bytes, timeout: float, answer_poll: AnswerPoll, log: Log
@@ -122,20 +124,20 @@
             force_instance=True, max_clients=MAX_CONCURRENT_REQUESTS, max_body_size=MAX_ANSWER_BYTES,
             max_buffer_size=MAX_ANSWER_BYTES,
         )  # fmt: skip
-        self.slow_client: SimpleAsyncHTTPClient | None = None  # made when it is first needed
+        self.slow_client: SimpleAsyncHTTPClient | None = None  # created at the first slow post
         self.budget = AnswerBudget()
-        self.answered = 0  # for the log
+        self.answered = 0  # answers sent and requests rejected, reported in the log
         self.rejected = 0
-        self.routes: dict[str, Route] = {}  # what else peers may post here, by path
+        self.routes: dict[str, Route] = {}  # handlers of posts, by path
         self.post_tasks: set[asyncio.Task[None]] = set()
-        self.post_nonces: OrderedDict[str, None] = OrderedDict()  # the oldest first
+        self.post_nonces: OrderedDict[str, None] = OrderedDict()  # oldest first
 
     def start(self) -> None:
-        """Answer peers from now on."""
+        """Start serving requests of peers."""
         self.server.listen(self.listen.port, self.listen.host)
 
     async def end(self) -> None:
-        """Answer no more."""
+        """Stop serving requests, cancel those in progress, and close all connections."""
         self.server.stop()
         for task in list(self.post_tasks):
             task.cancel()
@@ -159,7 +161,7 @@
             return
         query = {name: values[-1].decode("latin-1") for name, values in request.query_arguments.items()}
         try:
-            since = _version_of_query(query)
+            since = _version_from_query(query)
         except ValueError:
             self._respond(request, HTTPStatus.BAD_REQUEST)
             return
@@ -168,14 +170,14 @@
             return
         peer = query.get("from", "")[:MAX_ADDRESS_CHARS]
         answer = self.answer_poll(peer, since, "servers" in query)
-        if not self.budget.try_spend(1.0 + len(answer.snapshot.items) / ENTRIES_PER_COST):
+        if not self.budget.try_spend(1.0 + len(answer.snapshot.items) / ENTRIES_PER_COST_UNIT):
             self._reject(request, self.budget.retry_after())
             return
         self.answered += 1
         self._respond(request, HTTPStatus.OK, encode(answer), nonce)
 
     def _handle_post(self, request: HTTPServerRequest) -> None:
-        """Route what a peer posts, if it knows the secret and the nonce is new."""
+        """Pass a post to the handler of its path if its digest is valid and its nonce is new."""
         nonce = request.headers.get(NONCE_HEADER, "")
         route = self.routes.get(request.path)
         authentic = self._is_authentic(request, POST_PURPOSE, nonce, request.body)
@@ -197,9 +199,9 @@
         self._respond(request, HTTPStatus.OK, body, nonce)
 
     def _is_authentic(self, request: HTTPServerRequest, purpose: bytes, nonce: str, *fields: bytes) -> bool:
-        claimed = request.headers.get(DIGEST_HEADER, "")
+        digest = request.headers.get(DIGEST_HEADER, "")
         uri = request.uri or ""
-        return is_valid_digest(self.secret, claimed, purpose, nonce.encode(), uri.encode(), *fields)
+        return is_valid_digest(self.secret, digest, purpose, nonce.encode(), uri.encode(), *fields)
 
     def _remember_nonce(self, nonce: str) -> None:
         self.post_nonces[nonce] = None
@@ -228,18 +230,21 @@
     # Requests to peers
 
     async def poll(self, peer: str, own_address: str, since: ListVersion, with_backends: bool) -> PeerAnswer:
-        """A peer's list, or what changed in it since a version. Raises PeerRpcError."""
+        """Return a peer's list, or the changes in it since a version.
+
+        Raises PeerRpcError.
+        """
         nonce = os.urandom(NONCE_BYTES).hex()
-        uri = f"{LIST_PATH}?{urlencode(_query_of_version(since, own_address, with_backends))}"
+        uri = f"{LIST_PATH}?{urlencode(_poll_query(since, own_address, with_backends))}"
         digest = keyed_digest(self.secret, POLL_PURPOSE, nonce.encode(), uri.encode())
         request = HTTPRequest(
             f"http://{peer}{uri}", headers={NONCE_HEADER: nonce, DIGEST_HEADER: digest},
             connect_timeout=self.timeout, request_timeout=self.timeout, follow_redirects=False,
             decompress_response=False,
         )  # fmt: skip
-        # The client's own time limit does not cover its queue.
+        # The timeout of the HTTP client does not include the time in its queue.
         response = await self._fetch(self.client, request, 2 * self.timeout)
-        self._check_signature(peer, response, nonce)
+        self._check_digest(peer, response, nonce)
         try:
             return decode(response.body)
         except ValueError as error:
@@ -249,9 +254,12 @@
     async def post(
         self, peer: str, own_address: str, path: str, body: bytes, timeout: float, slow: bool = False
     ) -> bytes:
-        """A peer's answer to what is posted to it. Raises PeerRpcError.
+        """Post a body to a peer, and return the body of its answer.
+
+        A `slow` request, whose answer may take long, uses a separate HTTP client, so that it does not delay
+        others.
 
-        A `slow` answer may take long: its request has a client of its own, so that it delays no other.
+        Raises PeerRpcError.
         """
         nonce = os.urandom(NONCE_BYTES).hex()
         uri = f"{path}?{urlencode({'from': own_address})}"
@@ -263,7 +271,7 @@
         )  # fmt: skip
         client = self._slow_client() if slow else self.client
         response = await self._fetch(client, request, timeout)
-        self._check_signature(peer, response, nonce)
+        self._check_digest(peer, response, nonce)
         return response.body
 
     def _slow_client(self) -> SimpleAsyncHTTPClient:
@@ -287,14 +295,14 @@
         except (OSError, TimeoutError, ValueError) as error:
             raise PeerRpcError(str(error) or type(error).__name__, True) from None
 
-    def _check_signature(self, peer: str, response: HTTPResponse, nonce: str) -> None:
-        claimed = response.headers.get(DIGEST_HEADER, "")
-        if not is_valid_digest(self.secret, claimed, ANSWER_PURPOSE, nonce.encode(), response.body):
+    def _check_digest(self, peer: str, response: HTTPResponse, nonce: str) -> None:
+        digest = response.headers.get(DIGEST_HEADER, "")
+        if not is_valid_digest(self.secret, digest, ANSWER_PURPOSE, nonce.encode(), response.body):
             self.log.event("peer_unknown", peer=peer)
-            raise PeerRpcError("an answer of somebody else", True)
+            raise PeerRpcError("the digest of the answer is not valid", True)
 
 
-def _query_of_version(since: ListVersion, own_address: str, with_backends: bool) -> PollQuery:
+def _poll_query(since: ListVersion, own_address: str, with_backends: bool) -> PollQuery:
     query: PollQuery = {
         "era": since.era,
         "revision": since.revision,
@@ -307,14 +315,14 @@
     return query
 
 
-def _version_of_query(query: dict[str, str]) -> ListVersion:
-    """Raise ValueError where a number is none."""
+def _version_from_query(query: dict[str, str]) -> ListVersion:
+    """Return the version in the query of a poll. Raises ValueError if a number is not valid."""
     era = int(query.get("era", 0))
     revision = int(query.get("revision", 0))
     return ListVersion(era, revision, query.get("store", ""), query.get("whole", "1") == "1")
 
 
 def _retry_after_of(error: HTTPClientError) -> float | None:
-    """Seconds after which a peer wants to be asked again; None if it said nothing."""
+    """Return the Retry-After of a peer's answer in seconds, or None."""
     header = error.response.headers.get("Retry-After", "") if error.response else ""
     return float(header) if header.replace(".", "", 1).isdigit() else None
--- a/shelfhaven/membership/signed_datagram.py
+++ b/shelfhaven/membership/signed_datagram.py
@@ -1,6 +1,7 @@
-"""Datagrams between nodes of one fleet: JSON behind its keyed digest, and checks of decoded values.
+"""Authenticated datagrams between the nodes of a fleet, and checks of decoded values.
 
-What the JSON means is up to the callers (`failover/load_digest.py`, `idempotency/wire.py`).
+A datagram consists of a keyed digest and a JSON body, which the callers define (`failover/wire.py`,
+`idempotency/wire.py`).
 """
 
 from __future__ import annotations
@@ -12,54 +13,57 @@
 
 import orjson
 
-JsonValue: TypeAlias = Any  # as decoded; the checks below tell what it is
+JsonValue: TypeAlias = Any  # a decoded value; the checks below validate it
 
-MAC = 16  # bytes of the digest, before the JSON
-MAX_COUNT = 1 << 63  # exclusive: what a signed 64-bit integer holds
+MAC = 16  # length of the digest, which precedes the JSON
+MAX_COUNT = 1 << 63  # exclusive, so that a count fits into a signed 64-bit integer
 
 
 def seal(secret: bytes, raw: object) -> bytes:
-    """The datagram of a value."""
+    """Encode a value as a datagram with its digest."""
     body = orjson.dumps(raw)
     return _digest(secret, body) + body
 
 
 def unseal(secret: bytes, datagram: bytes) -> JsonValue:
-    """The value of a datagram. Raises ValueError where it was not sealed by this fleet."""
+    """Check the digest of a datagram and decode its value.
+
+    Raises ValueError if the digest or the JSON is not valid.
+    """
     body = datagram[MAC:]
     if not hmac.compare_digest(datagram[:MAC], _digest(secret, body)):
         raise ValueError("not signed by this fleet")
     try:
         return orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise ValueError(f"no JSON: {error}") from None
+        raise ValueError(f"invalid JSON: {error}") from None
 
 
 def _digest(secret: bytes, body: bytes) -> bytes:
     return hashlib.blake2b(body, key=secret[: hashlib.blake2b.MAX_KEY_SIZE], digest_size=MAC).digest()
 
 
-# Checks of decoded values; each raises ValueError with what is wrong.
+# Checks of decoded values. Each returns the value, or raises ValueError with a description of the fault.
 
 
 def count(raw: object) -> int:
-    """A whole number of 63 bits."""
+    """Check an integer from 0 to 2^63 - 1."""
     if not isinstance(raw, int) or isinstance(raw, bool) or not 0 <= raw < MAX_COUNT:
-        raise ValueError("a number that is none")
+        raise ValueError("not an integer from 0 to 2^63 - 1")
     return raw
 
 
 def text(raw: object, max_length: int, empty: bool = False) -> str:
-    """A printable string of at most so many characters."""
+    """Check a printable string of limited length, which may be empty only if `empty` is set."""
     if not isinstance(raw, str) or len(raw) > max_length or not raw.isprintable() or not (raw or empty):
-        raise ValueError("a text that is none")
+        raise ValueError(f"not a printable string of {int(not empty)} to {max_length} characters")
     return raw
 
 
 def number(raw: object, maximum: float = math.inf) -> float:
-    """A finite number from 0 to a bound."""
+    """Check a finite number from 0 to a maximum, and return it as a float."""
     if isinstance(raw, bool) or not isinstance(raw, int | float) or not math.isfinite(raw):
-        raise ValueError("a number that is none")
+        raise ValueError("not a finite number")
     if not 0 <= raw <= maximum:
         raise ValueError(f"not a number from 0 to {maximum:g}")
     return float(raw)
--- a/shelfhaven/membership/snapshot_codec.py
+++ b/shelfhaven/membership/snapshot_codec.py
@@ -1,6 +1,6 @@
 """Encoding of a peer's answer as JSON, and the keyed digests of messages between peers.
 
-An answer is checked completely before any of it is used. This module opens no socket.
+The decoder validates the whole answer before it returns any of it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
     snapshot: ListSnapshot
     warm: bool
     contacts: tuple[str, ...] = ()  # addresses of other peers
-    strain: float = 1.0  # how overloaded the peer knows backends to be, 1 for not at all
-    backend_knowledge: JsonValue = None  # JSON, for a peer that asked for it (`routing/warm_start.py`)
+    strain: float = 1.0  # overload of the backends as known to the peer; 1 means none
+    backend_knowledge: JsonValue = None  # JSON, if the poll requested it (`routing/warm_start.py`)
 
 
 def keyed_digest(secret: bytes, *fields: bytes) -> str:
-    """The keyed digest of some byte strings; the length of each is covered too."""
+    """Return the keyed digest of some byte strings, which also covers the length of each."""
     mac = hmac.new(secret, digestmod=hashlib.sha256)
     for field in fields:
         mac.update(len(field).to_bytes(8, "big") + field)
     return mac.hexdigest()
 
 
-def is_valid_digest(secret: bytes, claimed: str, *fields: bytes) -> bool:
-    """Whether a digest is the one of these byte strings."""
-    return hmac.compare_digest(keyed_digest(secret, *fields).encode(), claimed.encode())
+def is_valid_digest(secret: bytes, digest: str, *fields: bytes) -> bool:
+    """Return whether a received digest is that of these byte strings."""
+    return hmac.compare_digest(keyed_digest(secret, *fields).encode(), digest.encode())
 
 
 def encode(answer: PeerAnswer) -> bytes:
-    """The JSON of an answer."""
+    """Encode an answer as JSON."""
     snapshot = answer.snapshot
     return orjson.dumps(
         {
@@ -66,17 +66,20 @@
 
 
 def decode(text: bytes) -> PeerAnswer:
-    """Decode an answer. Raises ValueError with what is wrong."""
+    """Decode and validate an answer.
+
+    Raises ValueError with a description of the fault.
+    """
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise ValueError(f"no JSON: {error}") from None
+        raise ValueError(f"invalid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ValueError("no object")
+        raise ValueError("not a JSON object")
     snapshot = _decode_snapshot(raw)
     strain = raw.get("strain", 1.0)
     if not isinstance(strain, int | float) or not 1.0 <= strain < MAX_STRAIN:
-        raise ValueError("strain: no factor from 1 up")
+        raise ValueError(f"strain: not a number from 1 to less than {MAX_STRAIN:g}")
     contacts = _decode_strings(raw.get("contacts"), MAX_CONTACTS)
     return PeerAnswer(snapshot, raw.get("warm") is True, tuple(contacts), float(strain), raw.get("servers"))
 
@@ -84,11 +87,11 @@
 def _decode_snapshot(raw: dict[str, JsonValue]) -> ListSnapshot:
     age = raw.get("age")
     if age is not None and (not isinstance(age, int | float) or not age >= 0):
-        raise ValueError("age: no time span")
+        raise ValueError("age: not a non-negative number")
     items = raw.get("items")
     base = raw.get("base")
     if not isinstance(items, dict) or len(items) > MAX_ENTRIES:
-        raise ValueError("items: no list of bounded length")
+        raise ValueError(f"items: not an object with at most {MAX_ENTRIES} entries")
     return ListSnapshot(
         _decode_version(raw.get("stamp")),
         math.inf if age is None else float(age),
@@ -108,7 +111,7 @@
         valid_store = isinstance(store, str) and len(store) <= MAX_KEY_CHARS
         if _is_count(era) and _is_count(revision) and valid_store and isinstance(complete, bool):
             return ListVersion(era, revision, store, complete)
-    raise ValueError("stamp: not era, revision, store and whether it is whole")
+    raise ValueError("stamp: not a valid list of era, revision, store and completeness")
 
 
 def _is_count(raw: object) -> bool:
@@ -117,7 +120,7 @@
 
 def _decode_key(raw: object) -> str:
     if not isinstance(raw, str) or not 0 < len(raw) <= MAX_KEY_CHARS or not raw.isprintable():
-        raise ValueError("a key that is none")
+        raise ValueError(f"not a printable key of 1 to {MAX_KEY_CHARS} characters")
     return raw
 
 
@@ -126,12 +129,16 @@
         value, revision = raw
         if isinstance(value, str) and len(value) <= MAX_VALUE_CHARS and _is_count(revision):
             return Endpoint(value, revision)
-    raise ValueError("an item that is none")
+    raise ValueError("items: an entry is not a valid list of value and revision")
 
 
 def _decode_strings(raw: object, max_count: int) -> Sequence[str]:
     if raw is None:
         return ()
-    if not isinstance(raw, list) or len(raw) > max_count or not all(isinstance(one, str) for one in raw):
-        raise ValueError("not a list of texts of bounded length")
+    if (
+        not isinstance(raw, list)
+        or len(raw) > max_count
+        or not all(isinstance(element, str) for element in raw)
+    ):
+        raise ValueError(f"not a list of at most {max_count} strings")
     return raw
--- a/tests/membership/test_peer_rpc.py
+++ b/tests/membership/test_peer_rpc.py
@@ -1,4 +1,4 @@
-"""Polls between two nodes over loopback: what is answered, and how a failure is reported."""
+"""Requests between two nodes over loopback: answers, wire format and reported failures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.membership import peer_rpc
 from shelfhaven.membership.list_version import Endpoint, ListSnapshot, ListVersion
-from shelfhaven.membership.peer_rpc import MAX_SAVED_COST, MIN_RETRY_AFTER_S, PeerRpc, PeerRpcError
+from shelfhaven.membership.peer_rpc import MAX_ANSWER_BUDGET, MIN_RETRY_AFTER_S, PeerRpc, PeerRpcError
 from shelfhaven.membership.snapshot_codec import PeerAnswer
 from shelfhaven.server.log import Log
 from tests.peers import NULL, play
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """A node's side of polls, and what it was polled with."""
+    """A node's `PeerRpc`, and the arguments of the polls that it answered."""
 
     def __init__(self, secret: bytes = SECRET) -> None:
         self.polls: list[tuple[str, ListVersion, bool]] = []
@@ -47,7 +47,7 @@
         await polling.rpc.end()
 
 
-def test_a_poll_carries_the_version_and_is_answered_with_the_list() -> None:
+def test_a_poll_passes_the_version_and_returns_the_list() -> None:
     async def check() -> None:
         async with two_nodes() as (polled, polling):
             since = ListVersion(1, 5, "s", False)
@@ -59,7 +59,7 @@
     play(check)
 
 
-def test_requests_are_those_that_nodes_of_earlier_versions_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_are_compatible_with_nodes_of_earlier_versions(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(os, "urandom", lambda size: b"\x07" * size)
     heads: list[bytes] = []
 
@@ -93,19 +93,19 @@
     )
 
 
-def test_a_poll_with_another_secret_fails_without_a_time() -> None:
+def test_a_poll_with_another_secret_fails_without_a_retry_delay() -> None:
     async def check() -> None:
         async with two_nodes(b"another secret") as (polled, polling):
-            with pytest.raises(PeerRpcError) as caught:
+            with pytest.raises(PeerRpcError) as failure:
                 await polling.rpc.poll(polled.address, "a9", ListVersion(), False)
-            assert caught.value.retry_after is None
+            assert failure.value.retry_after is None
             assert polled.polls == []
 
     play(check)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_a_digest_that_is_not_ascii_is_rejected_as_any_other_wrong_one(method: str) -> None:
+def test_a_request_with_a_non_ascii_digest_is_rejected(method: str) -> None:
     async def check() -> None:
         async with two_nodes() as (polled, _):
             reader, writer = await asyncio.open_connection("127.0.0.1", polled.port)
@@ -118,7 +118,7 @@
     play(check)
 
 
-def test_an_answer_whose_digest_is_not_ascii_is_somebody_elses() -> None:
+def test_an_answer_with_a_non_ascii_digest_is_rejected() -> None:
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nX-Digest: \xe9\r\nContent-Length: 2\r\n\r\n{}")
@@ -128,33 +128,33 @@
         rpc = Node().rpc
         async with await asyncio.start_server(answer, "127.0.0.1", 0) as server:
             peer = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            with pytest.raises(PeerRpcError, match="an answer of somebody else"):
+            with pytest.raises(PeerRpcError, match="the digest of the answer is not valid"):
                 await rpc.poll(peer, "a9", ListVersion(), False)
         await rpc.end()
 
     play(check)
 
 
-def test_a_peer_that_spent_its_budget_names_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(peer_rpc, "ANSWER_COST_PER_S", 0.001)  # none comes back during the test
+def test_a_peer_without_budget_returns_a_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(peer_rpc, "ANSWER_BUDGET_PER_S", 0.001)  # too slow to refill during the test
 
     async def check() -> None:
         async with two_nodes() as (polled, polling):
-            assert polled.rpc.budget.try_spend(MAX_SAVED_COST)
-            with pytest.raises(PeerRpcError) as caught:
+            assert polled.rpc.budget.try_spend(MAX_ANSWER_BUDGET)
+            with pytest.raises(PeerRpcError) as failure:
                 await polling.rpc.poll(polled.address, "a9", ListVersion(), False)
-            assert caught.value.retry_after is not None
-            assert caught.value.retry_after >= MIN_RETRY_AFTER_S
+            assert failure.value.retry_after is not None
+            assert failure.value.retry_after >= MIN_RETRY_AFTER_S
             assert polled.rpc.rejected == 1
 
     play(check)
 
 
-def test_a_peer_that_is_not_there_cannot_have_taken_the_poll() -> None:
+def test_a_poll_of_a_closed_port_is_reported_as_not_sent() -> None:
     async def check() -> None:
         async with two_nodes() as (_, polling):
-            with pytest.raises(PeerRpcError) as caught:
+            with pytest.raises(PeerRpcError) as failure:
                 await polling.rpc.poll(f"127.0.0.1:{reserved_port()}", "a9", ListVersion(), False)
-            assert not caught.value.sent
+            assert not failure.value.sent
 
     play(check)
--- a/tests/membership/test_snapshot_codec.py
+++ b/tests/membership/test_snapshot_codec.py
@@ -1,4 +1,4 @@
-"""The JSON of a peer's answer, and keyed digests."""
+"""JSON encoding of a peer's answer, and keyed digests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from shelfhaven.membership.snapshot_codec import PeerAnswer, decode, encode, is_valid_digest, keyed_digest
 
 
-def test_an_answer_is_read_as_it_was_written() -> None:
+def test_an_encoded_answer_decodes_to_the_same_answer() -> None:
     snapshot = ListSnapshot(
         ListVersion(2, 7, "s"),
         1.5,
@@ -25,7 +25,7 @@
     )
 
 
-def test_the_json_is_the_one_that_nodes_of_earlier_versions_exchange() -> None:
+def test_the_json_is_that_of_earlier_versions() -> None:
     changes = ListSnapshot(
         ListVersion(2, 7, "s", complete=False),
         1.5,
@@ -62,13 +62,13 @@
         b'{"stamp":[0,0,"",true],"age":0,"items":{},"contacts":["%s"]}' % b'","'.join([b"x"] * 17),
     ],
 )  # fmt: skip
-def test_an_answer_that_makes_no_sense_is_rejected_completely(text: bytes) -> None:
+def test_an_invalid_answer_is_rejected(text: bytes) -> None:
     with pytest.raises(ValueError, match=r"."):
         decode(text)
 
 
-def test_a_digest_covers_its_parts_and_their_lengths() -> None:
-    snapshot = keyed_digest(b"secret", b"ask", b"ab", b"c")
-    assert is_valid_digest(b"secret", snapshot, b"ask", b"ab", b"c")
-    assert not is_valid_digest(b"secret", snapshot, b"ask", b"a", b"bc")
-    assert not is_valid_digest(b"other", snapshot, b"ask", b"ab", b"c")
+def test_a_digest_covers_all_fields_and_their_lengths() -> None:
+    digest = keyed_digest(b"secret", b"ask", b"ab", b"c")
+    assert is_valid_digest(b"secret", digest, b"ask", b"ab", b"c")
+    assert not is_valid_digest(b"secret", digest, b"ask", b"a", b"bc")
+    assert not is_valid_digest(b"other", digest, b"ask", b"ab", b"c")
