--- a/shelfhaven/membership/poll_schedule.py
+++ b/shelfhaven/membership/poll_schedule.py
@@ -1,14 +1,15 @@
-"""Slots, token buckets and backoff, by which a whole fleet asks no more than a stated number a second.
+"""Slots, token buckets and backoff, which keep the request rate of a whole fleet within a configured limit.
 
-A node's slot is a moment in absolute (Unix) time: a hash of its name, spread over a window that is as long as
-the fleet is large. A thousand nodes that start together are spread by it without any message between them,
-and a node that crashes and restarts finds its slot where it was: it asks once a window at most, however often
-it starts. A clock that is an hour off moves a slot and keeps the spread.
+Absolute (Unix) time is divided into windows whose length is proportional to the size of the fleet. A hash of
+a node's name determines its slot in each window. This spreads the requests of a thousand nodes that start
+together without any message between them. A node that crashes and restarts keeps its slot, so that it sends
+at most one request per window however often it starts. A clock that is an hour off moves the slot of its
+node, but the fleet stays spread over the window.
 
-Retries draw from the whole backoff span (full jitter: Marc Brooker, "Exponential Backoff And Jitter", 2015)
-and come out of a token bucket that fills at the node's part of the fleet's rate.
+The delay of a retry is drawn from the whole backoff span (full jitter: Marc Brooker, "Exponential Backoff And
+Jitter", 2015). Retries also need a token from a bucket that fills at the node's share of the fleet's rate.
 
-This module does no I/O, reads no clock, and draws only from the random numbers that it is given.
+This module does no I/O, reads no clock, and takes random numbers only from the generators passed to it.
 """
 
 from __future__ import annotations
@@ -21,16 +22,16 @@
 
 FIRST_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 60.0
-MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two finite; the bound above is reached long before
-MAX_TOKENS = 2.0  # requests that a node may save up
-MIN_RATE_PER_S = 1e-9  # against a division by zero
+MAX_BACKOFF_DOUBLINGS = 16  # keeps the power of two finite; MAX_BACKOFF_S is reached far earlier
+MAX_TOKENS = 2.0  # capacity of a node's bucket, in requests
+MIN_RATE_PER_S = 1e-9  # avoids a division by zero
 
 
 class Rank(NamedTuple):
-    """A name's place in an order that every node computes alike: the first few do what only a few should."""
+    """Position of a name in an order that every node computes alike, by which a few nodes are selected."""
 
-    fraction: float  # drawn by a hash of the name
-    name: str  # decides between equal fractions
+    fraction: float  # hash of the name and the purpose, from 0 to 1
+    name: str  # breaks ties
 
 
 def rank(name: str, purpose: str) -> Rank:
@@ -38,47 +39,47 @@
     return Rank(spread(name, purpose), name)
 
 
-def next_slot(name: str, purpose: str, unix: float, window: float) -> float:
-    """The node's next slot at or after a time; both in Unix seconds."""
+def next_slot(name: str, purpose: str, unix_time: float, window: float) -> float:
+    """Return the node's next slot for a purpose at or after a time, both in Unix seconds."""
     if window <= 0:
-        return unix
+        return unix_time
     offset = spread(name, purpose) * window
-    slot = unix - unix % window + offset
-    return slot if slot >= unix else slot + window
+    slot = unix_time - unix_time % window + offset
+    return slot if slot >= unix_time else slot + window
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Requests that a node may send: filled at its part of the fleet's rate, with little saved up."""
+    """Limits the requests of a node; it fills at the node's share of the fleet's rate."""
 
     tokens: float = 1.0
     updated_at: float = 0.0
 
-    def try_take(self, now: float, per_s: float) -> bool:
-        """Take one token, if there is one."""
-        self.tokens = min(MAX_TOKENS, self.tokens + max(0.0, now - self.updated_at) * per_s)
+    def try_take(self, now: float, rate_per_s: float) -> bool:
+        """Take one token if there is one."""
+        self.tokens = min(MAX_TOKENS, self.tokens + max(0.0, now - self.updated_at) * rate_per_s)
         self.updated_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
-    def time_until_token(self, per_s: float) -> float:
-        """Seconds until there is one, from the last attempt on."""
-        return max(0.0, 1.0 - self.tokens) / max(per_s, MIN_RATE_PER_S)
+    def time_until_token(self, rate_per_s: float) -> float:
+        """Return the seconds from the last call of `try_take` until there is a token."""
+        return max(0.0, 1.0 - self.tokens) / max(rate_per_s, MIN_RATE_PER_S)
 
 
 @dataclass(slots=True)
 class Backoff:
-    """Delays between attempts at a service that fails: longer after each failure, with full jitter."""
+    """Exponential backoff with full jitter for requests to a service."""
 
     failures: int = 0
 
     def next_delay(self, random: Random, min_span: float, retry_after: float | None = None) -> float:
-        """Seconds to wait, drawn from a span that is no shorter than `min_span`.
+        """Count a failure, and return the seconds to wait, drawn from a span of at least `min_span`.
 
-        The draw is added to what the service asked for: all callers were told the same time, and must not
-        come back together just after it.
+        The drawn delay is added to `retry_after`, since the service may have sent the same value to all
+        nodes, which must not retry together.
         """
         self.failures += 1
         doublings = min(self.failures, MAX_BACKOFF_DOUBLINGS)
@@ -86,5 +87,5 @@
         return (retry_after or 0.0) + random.random() * span
 
     def reset(self) -> None:
-        """The service answered."""
+        """Start again from the shortest span, after the service has answered."""
         self.failures = 0
--- a/shelfhaven/membership/readiness.py
+++ b/shelfhaven/membership/readiness.py
@@ -1,10 +1,11 @@
-"""When a starting node reports that it takes requests, and how large a share it takes at first.
-
-A node is ready with a list (or after a time-out without one), a link to what runs its requests, and a first
-good answer from there (or after a time-out without one: there may be no requests yet). Where half of the
-fleet or more is cold, the answer is not waited for, as otherwise nobody would become ready. The node's share
-rises then; but the warm rest of a fleet that is mostly cold must not get more than a stated factor of its own
-share, so that cold nodes take at least what that leaves. This module does no I/O and reads no clock.
+"""Readiness of a starting node, and the share of traffic that it takes while it warms up.
+
+A node becomes ready once it has an endpoint list, a link to its runner, and a first successful answer from
+there. It waits for the list and for the answer only until a timeout; a fleet without requests gives no
+answer. If at least half of the fleet is cold, the node does not wait for the answer, since otherwise no node
+would become ready. Once ready, it takes a rising share of requests. In a fleet that is mostly cold, the cold
+nodes take a larger share at once, so that no warm node gets more than `MAX_WARM_LOAD` times its own. This
+module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from dataclasses import dataclass
 from enum import Enum
 
-COLD_FLEET_FRACTION = 0.5  # of the fleet that is cold, from which a first answer is not waited for
-MIN_READY_SHARE = 0.1  # that a node takes as soon as it is ready
-MAX_WARM_LOAD = 1.5  # times its own share that a warm node may get
-MIN_WARM_UP_S = 1e-9  # against a division by zero
+COLD_FLEET_FRACTION = 0.5  # cold fraction of the fleet from which nodes do not wait for a first answer
+MIN_READY_SHARE = 0.1  # of its full share, which a node takes as soon as it is ready
+MAX_WARM_LOAD = 1.5  # load of a warm node, as a multiple of its own share
+MIN_WARM_UP_S = 1e-9  # avoids a division by zero
 
 
 class ReadinessStep(Enum):
-    """How far a node's start has come. The values appear in the log."""
+    """Step of a node's start: what it waits for, or that it is ready. The values appear in the log."""
 
     WAITING_FOR_LIST = "no list"
     WAITING_FOR_LINK = "no link to what runs its work"
@@ -29,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadinessSettings:
-    """As the operator's file gives them; times are in seconds."""
+    """Settings from the operator configuration; times are in seconds."""
 
-    list_timeout: float = 10.0  # after which the node goes on without a list
-    first_answer_timeout: float = 3.0  # after the link is up, without a good answer
-    warm_up: float = 20.0  # until the node takes its full share
+    list_timeout: float = 10.0  # for the endpoint list, from the start of the node
+    first_answer_timeout: float = 3.0  # for the first successful answer, once the link is up
+    warm_up: float = 20.0  # from readiness until the node takes its full share
 
 
 @dataclass(slots=True)
 class Readiness:
-    """State machine of one node's start."""
+    """State machine of a node's start."""
 
     settings: ReadinessSettings
     started_at: float
@@ -50,7 +51,10 @@
     ready_at: float = 0.0
 
     def update(self, now: float, linked: bool, cold_fraction: float) -> ReadinessStep:
-        """The step by now. A node that was ready once stays so: later trouble is up to its health."""
+        """Update and return the step.
+
+        A node stays ready once it is; later faults only affect its health.
+        """
         if linked and not self.linked:
             self.linked_at = now
         self.linked = linked
@@ -73,25 +77,26 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the node takes requests."""
+        """Whether the node is ready for requests."""
         return self.step is ReadinessStep.READY
 
     def warm(self, now: float) -> bool:
-        """Whether the node takes its full share."""
+        """Return whether the node takes its full share."""
         return self.ready and now - self.ready_at >= self.settings.warm_up
 
     def share(self, now: float, cold_fraction: float) -> float:
-        """The fraction of its full share that the node takes."""
+        """Return the fraction of its full share that the node takes."""
         if not self.ready:
             return 0.0
-        risen = (now - self.ready_at) / max(self.settings.warm_up, MIN_WARM_UP_S)
-        return min(1.0, max(MIN_READY_SHARE, risen, min_cold_share(cold_fraction)))
+        warmed_up_fraction = (now - self.ready_at) / max(self.settings.warm_up, MIN_WARM_UP_S)
+        return min(1.0, max(MIN_READY_SHARE, warmed_up_fraction, min_cold_share(cold_fraction)))
 
 
 def min_cold_share(cold_fraction: float) -> float:
-    """What each cold node has to take so that no warm one gets more than `MAX_WARM_LOAD` of its share.
+    """Return the least share of each cold node that keeps warm nodes within `MAX_WARM_LOAD`.
 
-    With a fraction w warm and c cold that takes s, a warm node gets 1 / (w + c s).
+    If a fraction w of the fleet is warm, a fraction c is cold, and each cold node takes the share s, a warm
+    node gets 1 / (w + c s).
     """
     if cold_fraction <= 0:
         return 0.0
--- a/shelfhaven/membership/registration.py
+++ b/shelfhaven/membership/registration.py
@@ -1,8 +1,8 @@
 """Registration of this node on the endpoint list, under a lease that it renews.
 
-A node registers in its slot once it is ready, renews the lease several times before it ends, and registers
-anew if the service no longer knows the lease or the fleet has outgrown its duration. This module does no I/O
-and reads no clock.
+Once a node is ready, it registers in its slot. It renews the lease several times per TTL, and registers again
+if the lease no longer exists or its TTL has become too short for the size of the fleet. This module does no
+I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -27,12 +27,13 @@
     ServiceQuota,
 )
 
-# A new lease is requested once the fleet's size asks for one this many times as long.
+# The node requests a new lease once the fleet's size requires a TTL longer than this multiple of the current
+# one.
 LEASE_OUTGROWN_FACTOR = 2.0
 
 
 class RegistrationState(Enum):
-    """Whether the node is on the list. The values appear in the log."""
+    """State of the node's registration. The values appear in the log."""
 
     NOT_READY = "unready"
     WAITING_FOR_SLOT = "waiting"
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistrationLease:
-    """The lease that the registration is bound to."""
+    """The lease of the registration."""
 
     lease_id: int
     ttl: float
@@ -51,7 +52,7 @@
 
 
 class Registration:
-    """State machine of one node's registration."""
+    """State machine of a node's registration."""
 
     def __init__(self, quota: ServiceQuota) -> None:
         self.quota = quota
@@ -60,7 +61,7 @@
         self.register_at = math.inf
         self.renew_at = math.inf
         self.renewing = False
-        self.requested_at = 0.0  # when the lease was last requested or its renewal sent
+        self.requested_at = 0.0  # when the node last requested the lease or its renewal
 
     @property
     def registered(self) -> bool:
@@ -68,19 +69,19 @@
         return self.state is RegistrationState.REGISTERED
 
     def node_ready(self, now: float) -> None:
-        """The node wants to be registered."""
+        """Plan the registration of a node that became ready."""
         if self.state is RegistrationState.NOT_READY:
             self._wait_for_slot(now)
 
     def completed(self, event: SelfRegistered) -> None:
-        """The list service registered the node."""
+        """Handle a completed registration."""
         self.quota.succeeded()
         if self.state is RegistrationState.REGISTERING:
             self.state = RegistrationState.REGISTERED
-            self._start_lease_time(event.lease_id, event.ttl)
+            self._set_lease(event.lease_id, event.ttl)
 
     def renewal_answered(self, now: float, event: LeaseRenewalAnswered) -> None:
-        """The list service renewed the lease, or does not know it."""
+        """Handle the answer to a renewal: the lease was renewed or no longer exists."""
         self.renewing = False
         self.quota.succeeded()
         if self.lease is None or not self.registered:
@@ -89,10 +90,10 @@
         if event.lease_lost or outgrown:
             self._wait_for_slot(now)
         else:
-            self._start_lease_time(self.lease.lease_id, self.lease.ttl)
+            self._set_lease(self.lease.lease_id, self.lease.ttl)
 
     def request_failed(self, now: float, operation: ListOperation) -> None:
-        """A registration or renewal failed: it is repeated after the backoff, which has begun."""
+        """Plan to repeat a failed registration or renewal after the backoff, which the caller has started."""
         if operation is ListOperation.REGISTER and self.state is RegistrationState.REGISTERING:
             self.state = RegistrationState.WAITING_FOR_SLOT
             self.register_at = self.quota.blocked_until
@@ -103,16 +104,16 @@
                 self._wait_for_slot(now)
 
     def deregister(self, now: float, has_list_service: bool) -> list[Action]:
-        """End the registration for good."""
+        """End the registration for good; return the request that removes it, if one can be sent."""
         registered = self.registered
         self.state = RegistrationState.LEFT
         if self.lease is None or not registered or not has_list_service:
             return []
-        # A lease that is not revoked ends by itself: a whole fleet that leaves stays within its rate.
+        # Without quota the lease expires on its own, so that a whole fleet that leaves stays within its rate.
         return [DeregisterSelf(self.lease.lease_id)] if self.quota.try_take(now) else []
 
     def next_due(self) -> float:
-        """When a request is due, infinite if none is."""
+        """Return when the next request is due, infinity if none is planned."""
         if self.state is RegistrationState.WAITING_FOR_SLOT:
             return self.register_at
         if self.registered and not self.renewing:
@@ -120,7 +121,7 @@
         return math.inf
 
     def due_requests(self, now: float) -> list[Action]:
-        """The requests that are due, as far as the quota allows them."""
+        """Return the requests that are due and, for a registration, within the quota."""
         actions: list[Action] = []
         if self.state is RegistrationState.WAITING_FOR_SLOT and now >= self.register_at:
             actions += self._register(now)
@@ -139,8 +140,8 @@
         self.requested_at = now
         return [RegisterSelf(self.quota.lease_ttl())]
 
-    def _start_lease_time(self, lease_id: int, ttl: float) -> None:
-        """A lease counts from when it was requested, not from when the answer came."""
+    def _set_lease(self, lease_id: int, ttl: float) -> None:
+        """Set the lease; its TTL counts from the request, not from the answer."""
         self.lease = RegistrationLease(lease_id, ttl, self.requested_at + ttl)
         self.renew_at = self.requested_at + ttl / RENEWALS_PER_LEASE
 
