--- a/tests/membership/fleet_world.py
+++ b/tests/membership/fleet_world.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes with a list service and a backend, for tests that put faults between them."""
+"""Test environment: a fleet of node processes with a list service and a backend, and faults between them."""
 
 from __future__ import annotations
 
@@ -16,33 +16,35 @@
 class World:
     """A list service, a backend and a fleet."""
 
-    def __init__(self, store: EtcdStub, backend: BackendStub, made: Fleet) -> None:
-        self.store, self.backend, self.fleet = store, backend, made
+    def __init__(self, store: EtcdStub, backend: BackendStub, fleet: Fleet) -> None:
+        self.store, self.backend, self.fleet = store, backend, fleet
 
     @property
     def nodes(self) -> list[FleetNode]:
         return list(self.fleet.nodes.values())
 
-    async def up(self, count: int) -> None:
-        """Start all, until every node has so many on its list and takes work."""
+    async def start_and_wait(self, count: int) -> None:
+        """Start all nodes; return once each lists `count` nodes and the running ones are ready."""
         await self.fleet.start_all()
-        await soon(lambda: self.fleet.all_know(count) and all(n.ready_after() for n in self.fleet.running()))
+        await soon(
+            lambda: self.fleet.all_know(count) and all(node.ready_after() for node in self.fleet.running())
+        )
 
-    def names(self) -> set[str]:
-        """Nodes that the service lists."""
+    def listed_nodes(self) -> set[str]:
+        """Return the names of the nodes that the list service lists."""
         return {key.decode().rpartition("/")[2] for key in self.store.kvs if b"/nodes/" in key}
 
 
 @contextlib.asynccontextmanager
-async def world(count: int = 6, **changes: Any) -> AsyncIterator[World]:
+async def world(count: int = 6, **options: Any) -> AsyncIterator[World]:
     store, backend = EtcdStub(), BackendStub("v", [], 16, 0.005)
     await store.start()
     await backend.start()
-    changes["more"] = FAST + changes.get("more", "")
+    options["more"] = FAST + options.get("more", "")
     try:
-        async with fleet(count, store.port, [backend.address], **changes) as made:
-            yield World(store, backend, made)
-            history = made.whole_history()
+        async with fleet(count, store.port, [backend.address], **options) as processes:
+            yield World(store, backend, processes)
+            history = processes.whole_history()
         assert (
             find_violations(
                 history,
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several processes of the program with faults between them: lists, readiness, learning in the real thing."""
+"""Membership, readiness and warm start of a fleet of node processes, with faults between them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from shelfhaven.lab.backend_stub import BackendStub
-from shelfhaven.lab.backend_stub import StubMode as Serving
+from shelfhaven.lab.backend_stub import StubMode as BackendMode
 from shelfhaven.lab.callers import NOT_REACHED
 from shelfhaven.lab.election_fleet import FAST, soon
 from shelfhaven.lab.etcd_stub import EtcdStub, Mode
@@ -18,14 +18,14 @@
 from tests.fleets import play
 from tests.membership.fleet_world import world
 
-pytestmark = pytest.mark.alone  # leases of 3 s, and bounds in seconds that the checker reads from logs
+pytestmark = pytest.mark.alone  # leases take 3 s, and the checker applies limits in seconds to the logs
 
 
-def test_a_fleet_comes_up_serves_and_forgets_who_left_and_who_died() -> None:
+def test_a_fleet_starts_serves_requests_and_delists_nodes_that_drained_or_died() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            await fleet_world.up(6)
-            assert fleet_world.names() == set(fleet_world.fleet.nodes)
+            await fleet_world.start_and_wait(6)
+            assert fleet_world.listed_nodes() == set(fleet_world.fleet.nodes)
             assert fleet_world.store.peak_request_rate() <= 60
             replies = await asyncio.gather(*(node.ask("GET", "/balance/1") for node in fleet_world.nodes))
             assert {reply.status for reply in replies} == {200}
@@ -33,29 +33,29 @@
             await soon(lambda: fleet_world.fleet.all_know(5))
             await fleet_world.fleet.kill(fleet_world.nodes[1])
             await soon(lambda: fleet_world.fleet.all_know(4))
-            assert fleet_world.names() == set(list(fleet_world.fleet.nodes)[2:])
+            assert fleet_world.listed_nodes() == set(list(fleet_world.fleet.nodes)[2:])
 
     play(check)
 
 
-def test_half_that_cannot_reach_the_service_learn_it_all_from_peers() -> None:
+def test_nodes_that_cannot_reach_the_list_service_get_the_list_from_peers() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            far = fleet_world.nodes[::2]
-            for node in far:
+            isolated = fleet_world.nodes[::2]
+            for node in isolated:
                 fleet_world.fleet.net.set(node.name, "store", Rule(hole=True))
             await fleet_world.fleet.start_all()
             await soon(lambda: fleet_world.fleet.all_know(3))
             await soon(lambda: all(node.ready_after() for node in fleet_world.nodes))
-            assert fleet_world.names() == {node.name for node in fleet_world.nodes[1::2]}
-            for node in far:
+            assert fleet_world.listed_nodes() == {node.name for node in fleet_world.nodes[1::2]}
+            for node in isolated:
                 fleet_world.fleet.net.set(node.name, "store", None)
             await soon(lambda: fleet_world.fleet.all_know(6))
 
     play(check)
 
 
-def test_a_start_with_the_service_gone_serves_and_is_listed_when_it_is_back() -> None:
+def test_nodes_that_start_without_the_list_service_serve_requests_and_register_when_it_is_back() -> None:
     async def check() -> None:
         async with world() as fleet_world:
             await fleet_world.store.stop()
@@ -70,35 +70,35 @@
     play(check)
 
 
-def test_a_service_that_comes_back_empty_or_older_empties_no_fleet() -> None:
+def test_a_list_service_that_lost_or_reset_its_data_does_not_shrink_the_nodes_lists() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            await fleet_world.up(6)
-            old = fleet_world.store.snapshot()
+            await fleet_world.start_and_wait(6)
+            old_data = fleet_world.store.snapshot()
             fleet_world.store.put("/shelfhaven/pools/other/s", "127.0.0.1:9")
-            for trouble in (fleet_world.store.forget, lambda: fleet_world.store.restore(old)):
-                least, done = [6], asyncio.Event()
+            for reset_store in (fleet_world.store.forget, lambda: fleet_world.store.restore(old_data)):
+                node_counts, stop = [6], asyncio.Event()
 
-                async def watch(least: list[int] = least, done: asyncio.Event = done) -> None:
-                    while not done.is_set():
-                        least.append(min(node.knows() for node in fleet_world.nodes))
+                async def record(node_counts: list[int] = node_counts, stop: asyncio.Event = stop) -> None:
+                    while not stop.is_set():
+                        node_counts.append(min(node.knows() for node in fleet_world.nodes))
                         await asyncio.sleep(0.05)
 
-                watching = asyncio.ensure_future(watch())
-                trouble()
-                await soon(lambda: fleet_world.names() == set(fleet_world.fleet.nodes), 30.0)
+                recording = asyncio.ensure_future(record())
+                reset_store()
+                await soon(lambda: fleet_world.listed_nodes() == set(fleet_world.fleet.nodes), 30.0)
                 await asyncio.sleep(0.5)
-                done.set()
-                await watching
-                assert min(least) == 6
+                stop.set()
+                await recording
+                assert min(node_counts) == 6
 
     play(check)
 
 
-def test_a_service_that_hangs_or_refuses_is_left_alone_and_found_again() -> None:
+def test_requests_to_a_list_service_that_hangs_or_rejects_stay_within_the_rate_until_it_recovers() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            await fleet_world.up(6)
+            await fleet_world.start_and_wait(6)
             fleet_world.store.mode, fleet_world.store.advice = Mode.REJECT, 1.0
             before = sum(fleet_world.store.requests_by_second.values())
             await asyncio.sleep(4.0)
@@ -107,18 +107,18 @@
             await asyncio.sleep(1.0)
             assert all(
                 node.knows() >= 5 for node in fleet_world.nodes
-            ), "leases ended: one may go, the rest is kept"
+            ), "the leases expired: one node may be removed, the others are kept"
             replies = await asyncio.gather(*(node.ask("GET", "/balance/1") for node in fleet_world.nodes))
             assert {reply.status for reply in replies} == {200}
             fleet_world.store.mode = Mode.SERVE
-            await soon(lambda: fleet_world.names() == set(fleet_world.fleet.nodes), 30.0)
+            await soon(lambda: fleet_world.listed_nodes() == set(fleet_world.fleet.nodes), 30.0)
             await fleet_world.fleet.kill(fleet_world.nodes[0])
             await soon(lambda: fleet_world.fleet.all_know(5), 30.0)
 
     play(check)
 
 
-def test_a_third_that_stands_still_during_the_start_comes_up_after_it() -> None:
+def test_nodes_that_are_suspended_during_the_start_become_ready_after_it() -> None:
     async def check() -> None:
         async with world() as fleet_world:
             await fleet_world.fleet.start_all()
@@ -136,30 +136,30 @@
     play(check)
 
 
-def test_peers_cut_in_one_direction_still_learn() -> None:
+def test_a_node_that_peers_cannot_reach_gets_the_list_by_polling_them() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            away = fleet_world.nodes[0]
-            fleet_world.fleet.net.set(away.name, "store", Rule(reset=True))
-            fleet_world.fleet.net.set("*", away.name, Rule(shut=True))  # nobody reaches it; it reaches all
-            deaf = fleet_world.nodes[1]
-            fleet_world.fleet.net.set(deaf.name, "store", Rule(reset=True))
-            fleet_world.fleet.net.set(
-                "*", deaf.name, Rule(hole=True)
-            )  # what is sent to it is lost, its own is not
+            unreachable = fleet_world.nodes[0]
+            fleet_world.fleet.net.set(unreachable.name, "store", Rule(reset=True))
+            # Nobody can connect to it, but it can connect to all others.
+            fleet_world.fleet.net.set("*", unreachable.name, Rule(shut=True))
+            blackholed = fleet_world.nodes[1]
+            fleet_world.fleet.net.set(blackholed.name, "store", Rule(reset=True))
+            # Everything sent to it is lost, but not what it sends itself.
+            fleet_world.fleet.net.set("*", blackholed.name, Rule(hole=True))
             await fleet_world.fleet.start_all()
-            others = [node for node in fleet_world.nodes if node is not deaf]
+            others = [node for node in fleet_world.nodes if node is not blackholed]
             await soon(lambda: all(node.knows() == 4 for node in others))
-            await soon(deaf.ready_after)
-            assert (deaf.knows(), (await deaf.ask("GET", "/balance/1")).status) == (0, 200)
+            await soon(blackholed.ready_after)
+            assert (blackholed.knows(), (await blackholed.ask("GET", "/balance/1")).status) == (0, 200)
 
     play(check)
 
 
-def test_a_watch_whose_past_is_forgotten_reads_anew() -> None:
+def test_after_its_revisions_are_compacted_a_watcher_reads_the_complete_list() -> None:
     async def check() -> None:
         async with world() as fleet_world:
-            await fleet_world.up(6)
+            await fleet_world.start_and_wait(6)
             for number in range(3):
                 fleet_world.store.put(f"/shelfhaven/pools/p/s{number}", "127.0.0.1:9")
             fleet_world.store.compact()
@@ -172,7 +172,7 @@
     play(check)
 
 
-def test_another_service_told_by_sighup_during_the_start_is_asked_from_then_on() -> None:
+def test_a_list_service_reconfigured_by_sighup_during_the_start_is_used() -> None:
     async def check() -> None:
         other = EtcdStub()
         await other.start()
@@ -195,13 +195,13 @@
     play(check)
 
 
-def test_backends_come_from_the_list_and_change_with_it() -> None:
+def test_backends_are_taken_from_the_list_and_follow_its_changes() -> None:
     async def check() -> None:
         second = BackendStub("second", [], 4, 0.0)
         await second.start()
         async with world(3, from_list="true") as fleet_world:
             fleet_world.store.put("/shelfhaven/pools/p/one", fleet_world.backend.address)
-            await fleet_world.up(3)
+            await fleet_world.start_and_wait(3)
             await soon(
                 lambda: all(node.events("list_changed")[-1]["entries"] == 4 for node in fleet_world.nodes)
             )
@@ -217,38 +217,38 @@
     play(check)
 
 
-def test_a_newcomer_learns_which_server_is_out_from_one_that_knows() -> None:
+def test_a_new_node_learns_of_an_ejected_backend_from_a_peer() -> None:
     async def check() -> None:
         dead = BackendStub("dead", [], 4, 0.0)
         await dead.start()
         pool = 'eject failures=2 first="30s"'
         async with world(3, pool=pool) as fleet_world:
             fleet_world.fleet.servers = [fleet_world.backend.address, dead.address]
-            first, second, late = fleet_world.nodes
+            first, second, new = fleet_world.nodes
             await fleet_world.fleet.start(first)
             await fleet_world.fleet.start(second)
             await soon(lambda: fleet_world.fleet.all_know(2))
-            dead.mode = Serving.FAIL
-            for donor in (first, second):
-                while not any(line["standing"] == "out" for line in donor.events("pool_server")):
-                    await donor.ask("GET", "/balance/1")
-            failed = len(dead.log)
-            await fleet_world.fleet.start(late)
-            await soon(lambda: late.events("learned"))
-            told = {line["at_server"]: line["why"] for line in late.events("pool_server")}
-            assert told == {dead.address: "said to be out by a peer"}
-            replies = [await late.ask("GET", "/balance/1") for _ in range(6)]
+            dead.mode = BackendMode.FAIL
+            for node in (first, second):
+                while not any(line["standing"] == "out" for line in node.events("pool_server")):
+                    await node.ask("GET", "/balance/1")
+            requests_before = len(dead.log)
+            await fleet_world.fleet.start(new)
+            await soon(lambda: new.events("learned"))
+            reasons = {line["at_server"]: line["why"] for line in new.events("pool_server")}
+            assert reasons == {dead.address: "said to be out by a peer"}
+            replies = [await new.ask("GET", "/balance/1") for _ in range(6)]
             assert {reply.status for reply in replies} == {200}
-            assert len(dead.log) == failed
+            assert len(dead.log) == requests_before
         dead.stop()
 
     play(check)
 
 
-def test_a_peer_without_the_secret_gets_no_answer() -> None:
+def test_a_poll_without_the_secret_is_rejected() -> None:
     async def check() -> None:
         async with world(2) as fleet_world:
-            await fleet_world.up(2)
+            await fleet_world.start_and_wait(2)
             reader, writer = await asyncio.open_connection("127.0.0.1", fleet_world.nodes[0].peer)
             writer.write(b"GET /list?era=0 HTTP/1.1\r\nHost: x\r\nX-Number: 1\r\nX-Digest: 00\r\n\r\n")
             head = await reader.readuntil(b"\r\n\r\n")
@@ -259,7 +259,7 @@
     play(check)
 
 
-def test_a_node_that_is_not_ready_says_so_and_serves_all_the_same() -> None:
+def test_a_node_that_is_not_ready_reports_it_but_serves_requests() -> None:
     async def check() -> None:
         async with world(1, more='list-within "3s"\n') as fleet_world:
             fleet_world.fleet.values["more"] = FAST.replace('list-within "2s"', 'list-within "3s"')
@@ -275,10 +275,10 @@
     play(check)
 
 
-def test_a_crash_loop_of_one_node_costs_the_others_nothing() -> None:
+def test_a_node_in_a_crash_loop_does_not_affect_the_others() -> None:
     async def check() -> None:
         async with world(4) as fleet_world:
-            await fleet_world.up(4)
+            await fleet_world.start_and_wait(4)
             looping, others = fleet_world.nodes[0], fleet_world.nodes[1:]
             before = fleet_world.store.requests_by_method["LeaseGrant"]
             for _ in range(4):
@@ -294,42 +294,42 @@
     play(check)
 
 
-def test_an_operator_is_shown_the_list_that_a_node_has() -> None:
+def test_the_nodes_command_shows_the_list_of_a_node() -> None:
     async def check() -> None:
         async with world(2) as fleet_world:
-            await fleet_world.up(2)
+            await fleet_world.start_and_wait(2)
             fleet_world.store.put("/shelfhaven/pools/p/one", "127.0.0.1:9")
             first, second = fleet_world.nodes
             await soon(lambda: second.events("list_changed")[-1]["entries"] == 3)
 
-            async def shows(*more: str) -> tuple[int, str]:
+            async def show_list(*more: str) -> tuple[int, str]:
                 command = [sys.executable, "-m", "shelfhaven", "nodes", "--operator", str(first.path), *more]
                 pipe = asyncio.subprocess.PIPE
                 process = await asyncio.create_subprocess_exec(*command, stdout=pipe, stderr=pipe)
                 out, err = await process.communicate()
                 return process.returncode or 0, (out + err).decode()
 
-            code, text = await shows("--at", f"127.0.0.1:{second.peer}")
+            code, text = await show_list("--at", f"127.0.0.1:{second.peer}")
             assert code == 0
             assert "era 0, revision" in text
             assert "2 nodes, 1 other entries" in text
             assert f"n000                     127.0.0.1:{first.gate.port}" in text
             assert "pools/p/one" in text
             await fleet_world.fleet.kill(first)
-            assert (await shows())[0] == 3
+            assert (await show_list())[0] == 3
 
     play(check)
 
 
-def test_a_roll_out_under_load_loses_nothing_and_is_known_to_all() -> None:
+def test_a_rolling_restart_under_load_fails_no_request_and_reaches_all_lists() -> None:
     async def check() -> None:
         async with world(4) as fleet_world:
-            await fleet_world.up(4)
+            await fleet_world.start_and_wait(4)
             replies: list[Any] = []
-            over = asyncio.Event()
+            finished = asyncio.Event()
 
             async def caller(number: int) -> None:
-                while not over.is_set():
+                while not finished.is_set():
                     node = fleet_world.nodes[(number + len(replies)) % len(fleet_world.nodes)]
                     replies.append(await node.ask("GET", f"/balance/{number}"))
                     await asyncio.sleep(0.01)
@@ -340,11 +340,13 @@
                 await soon(lambda: fleet_world.fleet.all_know(3))
                 await fleet_world.fleet.start(node)
                 await soon(lambda: fleet_world.fleet.all_know(4))
-            over.set()
+            finished.set()
             await asyncio.gather(*callers)
             answered = [reply for reply in replies if reply is not NOT_REACHED]
-            refused = [reply for reply in answered if reply.status != 200]
-            assert all(reply.status == 503 and reply.not_run for reply in refused), "one that leaves refuses"
-            assert len(refused) < len(answered) / 2
+            rejected = [reply for reply in answered if reply.status != 200]
+            assert all(
+                reply.status == 503 and reply.not_run for reply in rejected
+            ), "only a draining node rejects requests"
+            assert len(rejected) < len(answered) / 2
 
     play(check)
--- a/tests/membership/test_fleet_cold_start.py
+++ b/tests/membership/test_fleet_cold_start.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes that starts cold, or whose backends were overloaded, under a flash crowd."""
+"""Fleets of node processes under a flash crowd: after a cold start, and after an overload of the backends."""
 
 from __future__ import annotations
 
@@ -13,74 +13,74 @@
 from tests.fleets import play
 from tests.membership.fleet_world import World, world
 
-pytestmark = pytest.mark.alone  # leases of 3 s, and bounds in seconds that the checker reads from logs
+pytestmark = pytest.mark.alone  # leases take 3 s, and the checker applies limits in seconds to the logs
 
-BEARS = 6  # runs at a time at each of two backends
+BACKEND_CAPACITY = 6  # concurrent runs at which each of the two backends is saturated
 
 
 @contextlib.asynccontextmanager
-async def saturable(count: int = 6) -> AsyncIterator[tuple[World, list[BackendStub]]]:
-    """A fleet with two backends whose latency grows with the square of their load beyond saturation."""
-    pair = [BackendStub(f"k{n}", [], 4096, 0.05, n, saturation=BEARS) for n in range(2)]
-    for backend in pair:
+async def fleet_with_saturable_backends(count: int = 6) -> AsyncIterator[tuple[World, list[BackendStub]]]:
+    """Run a fleet with two backends whose latency grows with the square of the load above saturation."""
+    backends = [BackendStub(f"k{n}", [], 4096, 0.05, n, saturation=BACKEND_CAPACITY) for n in range(2)]
+    for backend in backends:
         await backend.start()
-    pool = f'ramp bears={BEARS} connects=200 rise="500ms" stretch=1 spare=1.0'
+    pool = f'ramp bears={BACKEND_CAPACITY} connects=200 rise="500ms" stretch=1 spare=1.0'
     try:
         async with world(count, pool=pool) as fleet_world:
-            fleet_world.fleet.servers = [backend.address for backend in pair]
-            yield fleet_world, pair
+            fleet_world.fleet.servers = [backend.address for backend in backends]
+            yield fleet_world, backends
     finally:
-        for backend in pair:
+        for backend in backends:
             backend.stop()
 
 
-async def crowd(fleet_world: World, count: int) -> list[int]:
-    """So many requests at once, to all nodes; their statuses."""
+async def send_requests(fleet_world: World, count: int) -> list[int]:
+    """Send `count` concurrent requests, distributed over all nodes, and return their statuses."""
     nodes = fleet_world.fleet.running()
-    asks = (nodes[n % len(nodes)].ask("GET", f"/balance/{n}") for n in range(count))
-    return [reply.status for reply in await asyncio.gather(*asks)]
+    requests = (nodes[n % len(nodes)].ask("GET", f"/balance/{n}") for n in range(count))
+    return [reply.status for reply in await asyncio.gather(*requests)]
 
 
 def test_a_flash_crowd_at_a_cold_fleet_does_not_overload_the_backends() -> None:
     async def check() -> None:
-        async with saturable() as (fleet_world, pair):
+        async with fleet_with_saturable_backends() as (fleet_world, backends):
             await fleet_world.fleet.start_all()
             await soon(lambda: all(node.events("phase") for node in fleet_world.nodes))
-            most = 0
+            peak_in_progress = 0
 
-            async def look() -> None:
-                nonlocal most
+            async def record_peak() -> None:
+                nonlocal peak_in_progress
                 while True:
-                    most = max(most, sum(backend.in_progress for backend in pair))
+                    peak_in_progress = max(peak_in_progress, sum(backend.in_progress for backend in backends))
                     await asyncio.sleep(0.002)
 
-            looking = asyncio.ensure_future(look())
-            statuses = [status for _ in range(4) for status in await crowd(fleet_world, 150)]
-            looking.cancel()
-            assert most <= 2 * BEARS
-            assert set(statuses) <= {200, 503}, "each has its answer, and no backend failed"
+            recording = asyncio.ensure_future(record_peak())
+            statuses = [status for _ in range(4) for status in await send_requests(fleet_world, 150)]
+            recording.cancel()
+            assert peak_in_progress <= 2 * BACKEND_CAPACITY
+            assert set(statuses) <= {200, 503}, "each request is answered, and no backend fails"
             assert statuses.count(200) >= 40
 
     play(check)
 
 
-def test_overloaded_backends_recover() -> None:
+def test_backends_recover_from_an_overload() -> None:
     async def check() -> None:
-        async with saturable() as (fleet_world, pair):
-            await fleet_world.up(6)
-            for backend in pair:
+        async with fleet_with_saturable_backends() as (fleet_world, backends):
+            await fleet_world.start_and_wait(6)
+            for backend in backends:
                 backend.slowdown = 60.0
-            await crowd(fleet_world, 120)
-            await crowd(fleet_world, 120)
-            for backend in pair:
+            await send_requests(fleet_world, 120)
+            await send_requests(fleet_world, 120)
+            for backend in backends:
                 backend.slowdown = 1.0
-            good = 0
+            successes = 0
             for _ in range(60):
-                good = (await crowd(fleet_world, 6)).count(200)
-                if good == 6:
+                successes = (await send_requests(fleet_world, 6)).count(200)
+                if successes == 6:
                     break
                 await asyncio.sleep(0.2)
-            assert good == 6
-            assert sum(backend.in_progress for backend in pair) <= 2 * BEARS
+            assert successes == 6
+            assert sum(backend.in_progress for backend in backends) <= 2 * BACKEND_CAPACITY
 
     play(check)
--- a/tests/membership/test_simulation.py
+++ b/tests/membership/test_simulation.py
@@ -1,4 +1,4 @@
-"""Fleets of members in virtual time: what they ask, learn and survive."""
+"""Fleets of members in virtual time: request rates, convergence and behaviour under faults."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from shelfhaven.membership.shrink_guard import ShrinkGuardSettings
 from tests.membership.fixtures import ASKS, list_of, settings
 
-OVER = 1.2  # of the stated rate in the busiest second: a second's edge cuts no slot in two
-START = ("cached_list", "window", "neighbours")  # changes that are of the start and not of the settings
+RATE_TOLERANCE = 1.2  # times the configured rate: slots are not aligned with the seconds that are counted
+START_OPTIONS = ("cached_list", "window", "neighbours")  # fields of `FleetStart`; other options are settings
 
 
 def simulate(
-    count: int, service: SimulatedListService | None = None, seed: int = 1, **changes: object
+    count: int, service: SimulatedListService | None = None, seed: int = 1, **options: object
 ) -> MembershipSimulation:
-    start = FleetStart(**{name: changes.pop(name) for name in START if name in changes})  # type: ignore[arg-type]
+    start = FleetStart(**{name: options.pop(name) for name in START_OPTIONS if name in options})  # type: ignore[arg-type]
     service = service or SimulatedListService(rate=ASKS)
-    return MembershipSimulation(count, settings(count, **changes), seed, service, start)
+    return MembershipSimulation(count, settings(count, **options), seed, service, start)
 
 
 @pytest.mark.parametrize("count", [30, 300])
-def test_a_fleet_that_starts_together_asks_no_more_than_the_stated_rate(count: int) -> None:
+def test_a_fleet_that_starts_together_stays_within_the_request_rate(count: int) -> None:
     simulation = simulate(count)
     at = simulation.run(200.0, simulation.converged)
-    assert simulation.converged(), "everybody knows everybody"
-    assert simulation.service.peak_requests() <= OVER * ASKS
+    assert simulation.converged(), "every node lists all nodes"
+    assert simulation.service.peak_requests() <= RATE_TOLERANCE * ASKS
     assert at < 10.0 + 2 * simulation.members[next(iter(simulation.members))].quota.window(
         REGISTRATION_SHARE, 2.0
     )
     assert len(simulation.service.watchers) <= 8
 
 
-def test_a_steady_fleet_asks_little_and_reads_nothing() -> None:
+def test_a_steady_fleet_sends_few_requests_and_reads_no_list() -> None:
     simulation = simulate(100)
     simulation.run(120.0)
     before = dict(simulation.service.requests_by_kind)
     simulation.run(240.0)
     assert simulation.service.requests_by_kind["ReadList"] == before["ReadList"]
-    asked = sum(simulation.service.requests_by_kind.values()) - sum(before.values())
-    assert asked / 120 < 0.4 * ASKS
+    request_count = sum(simulation.service.requests_by_kind.values()) - sum(before.values())
+    assert request_count / 120 < 0.4 * ASKS
 
 
-def test_a_service_that_dies_half_way_and_comes_back_empty_removes_nothing() -> None:
+def test_a_list_service_that_loses_its_data_during_the_start_removes_no_nodes() -> None:
     service = SimulatedListService(rate=ASKS)
     simulation = simulate(
         100,
@@ -61,17 +61,17 @@
     simulation.run(16.0)
     service.up = True
     service.restart_empty()
-    least = []
+    node_counts = []
     for second in range(17, 60):
         simulation.run(float(second))
-        least.append(min(len(member.fleet.nodes) for member in simulation.members.values()))
-    assert min(least[2:]) >= 30, "what was known before is kept"
+        node_counts.append(min(len(member.fleet.nodes) for member in simulation.members.values()))
+    assert min(node_counts[2:]) >= 30, "nodes listed before are kept"
     simulation.run(400.0, simulation.converged)
-    assert simulation.converged(), "and all are listed again"
-    assert simulation.service.peak_requests(17.0) <= OVER * ASKS
+    assert simulation.converged(), "all nodes are listed again"
+    assert simulation.service.peak_requests(17.0) <= RATE_TOLERANCE * ASKS
 
 
-def test_the_end_of_the_service_leaves_the_list_as_it_is() -> None:
+def test_without_the_list_service_the_list_is_kept() -> None:
     service = SimulatedListService(rate=ASKS)
     simulation = simulate(60, service)
     simulation.run(60.0)
@@ -79,70 +79,70 @@
     simulation.run(400.0)
     assert simulation.converged()
     late = [count for second, count in service.requests_by_second.items() if second > 120]
-    assert max(late) <= OVER * ASKS
+    assert max(late) <= RATE_TOLERANCE * ASKS
 
 
-def test_half_that_cannot_reach_the_service_learn_from_the_other_half() -> None:
+def test_nodes_that_cannot_reach_the_list_service_get_the_list_from_peers() -> None:
     simulation = simulate(60)
-    far = set(list(simulation.identities)[::2])
-    simulation.cut = lambda source, target: (source in far and target == "service") or (
-        source == "service" and target in far
+    isolated = set(list(simulation.identities)[::2])
+    simulation.cut = lambda source, target: (source in isolated and target == "service") or (
+        source == "service" and target in isolated
     )
     simulation.run(60.0)
-    listed = {simulation.identities[node].key for node in simulation.members if node not in far}
+    listed = {simulation.identities[node].key for node in simulation.members if node not in isolated}
     assert all(member.fleet.nodes.positions.keys() == listed for member in simulation.members.values())
 
 
-def test_a_crash_loop_asks_no_more_often_than_a_node_that_runs() -> None:
+def test_a_node_in_a_crash_loop_stays_within_its_request_rate() -> None:
     simulation = simulate(100)
     simulation.run(60.0)
     before, looping = sum(simulation.service.requests_by_kind.values()), "an00007"
-    asked = []
-    real = simulation.request_service
-    simulation.request_service = lambda node, member, action: (asked.append(node), real(node, member, action))  # type: ignore
+    nodes = []
+    send = simulation.request_service
+    simulation.request_service = lambda node, member, action: (nodes.append(node), send(node, member, action))  # type: ignore
     for start in range(60, 180, 3):
         simulation.at(float(start), lambda: simulation.kill(looping))
         simulation.at(float(start) + 0.1, lambda: simulation.begin(looping))
     simulation.run(180.0)
     window = simulation.members["an00001"].quota.window(REGISTRATION_SHARE, 2.0)
-    assert asked.count(looping) <= 3 * 120 / window
+    assert nodes.count(looping) <= 3 * 120 / window
     assert sum(simulation.service.requests_by_kind.values()) > before
 
 
-def test_a_third_that_is_paused_during_the_start_comes_up_after_it() -> None:
+def test_nodes_that_are_suspended_during_the_start_are_listed_after_it() -> None:
     simulation = simulate(60)
-    stopped = set(list(simulation.identities)[:20])
-    simulation.at(0.6, lambda: simulation.stopped.update(stopped))
+    suspended = set(list(simulation.identities)[:20])
+    simulation.at(0.6, lambda: simulation.stopped.update(suspended))
     simulation.at(15.0, simulation.stopped.clear)
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
-    assert simulation.service.peak_requests() <= OVER * ASKS
+    assert simulation.service.peak_requests() <= RATE_TOLERANCE * ASKS
 
 
-def test_a_start_from_an_old_cached_list_finds_the_present_fleet() -> None:
+def test_a_fleet_that_starts_from_an_old_cached_list_converges_on_the_present_nodes() -> None:
     service = SimulatedListService(rate=ASKS)
     known = list_of(80, revision=50, age=600.0)
     service.revision = 60
-    service.deleted = [(60, key) for key in known.items][60:]  # as the service tells who watches from 50 on
+    service.deleted = [(60, key) for key in known.items][60:]  # reported to a watch from revision 50 on
     simulation = simulate(
         60, service, cached_list=known, shrink_guard=ShrinkGuardSettings(retention_time=10.0)
     )
     simulation.run(200.0, simulation.converged)
-    assert simulation.converged(), "the twenty that are no more are let go once the service stands by it"
+    assert simulation.converged(), "the twenty missing nodes are removed after the retention time"
 
 
-def test_peers_that_send_wrong_ages_keep_nobody_from_the_right_list() -> None:
+def test_peers_that_report_wrong_ages_do_not_prevent_convergence() -> None:
     simulation = simulate(30)
-    real = simulation.tell
+    original = simulation.tell
 
-    def lying(address: str, member: Member, event: Event) -> None:
+    def tell_with_wrong_age(address: str, member: Member, event: Event) -> None:
         if isinstance(event, PeerAnswered) and event.peer in ("an00001", "an00002"):
             sent = event.snapshot
             event = PeerAnswered(
                 event.peer, ListSnapshot(sent.version, 0.0, sent.items, sent.base, sent.removed)
             )
-        real(address, member, event)
+        original(address, member, event)
 
-    simulation.tell = lying  # type: ignore[method-assign]
+    simulation.tell = tell_with_wrong_age  # type: ignore[method-assign]
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
