--- a/shelfhaven/membership/etcd_channel.py
+++ b/shelfhaven/membership/etcd_channel.py
@@ -91,7 +91,7 @@
 
 
 class EtcdChannel:
-    """The current channel to the service, and the endpoints for the next one."""
+    """One gRPC channel at a time to the service, to its endpoints in turn."""
 
     def __init__(self, endpoints: Sequence[str], log: Log, failure_event: str, anew: bool = False) -> None:
         self.log = log
@@ -129,7 +129,7 @@
             task.cancel()
 
     def report_failure(self, error: Exception) -> None:
-        """Log a failure; switch to the next endpoint unless the service reported that it is overloaded."""
+        """Log a failure; switch endpoints if there are several, unless the service is only overloaded."""
         code = status_code_of(error)
         text = f"{code.name if code else type(error).__name__}: {error}"
         self.log.event(self.failure_event, error=text[:MAX_LOGGED_ERROR_CHARS])
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -321,7 +321,7 @@
     play(check)
 
 
-def test_a_rolling_restart_under_load_fails_no_request_and_reaches_all_lists() -> None:
+def test_a_rolling_restart_under_load_loses_no_request_and_reaches_all_lists() -> None:
     async def check() -> None:
         async with world(4) as fleet_world:
             await fleet_world.start_and_wait(4)
