--- a/shelfhaven/consensus/etcd_store.py
+++ b/shelfhaven/consensus/etcd_store.py
@@ -74,12 +74,12 @@
     def __init__(self, endpoints: Sequence[str], prefix: str, timeout: float, log: Log) -> None:
         self.prefix = prefix.encode()
         self.timeout = timeout  # seconds
-        self.etcd_channel = EtcdChannel(endpoints, log, "agreement", anew=True)
+        self.etcd_channel = EtcdChannel(endpoints, log, "agreement", reconnect_after_failure=True)
         self.cluster_id: int | None = None  # of the last response; a different one means another store
 
     def set_endpoints(self, endpoints: Sequence[str]) -> None:
         """Replace the endpoints; the current channel is closed."""
-        self.etcd_channel.move(endpoints)
+        self.etcd_channel.set_endpoints(endpoints)
         self.cluster_id = None
 
     async def _within_timeout(self, call: Awaitable[Result]) -> Result:
--- a/shelfhaven/lab/membership_simulation.py
+++ b/shelfhaven/lab/membership_simulation.py
@@ -203,7 +203,7 @@
         self.tell(poll.peer, polled, PolledByPeer(address))
         snapshot = polled.endpoint_list.snapshot(self.now, poll.since)
         self.peer_entries_sent += len(snapshot.items) + len(snapshot.removed)
-        contacts = polled.peers.some_contacts(CONTACTS_PER_ANSWER)
+        contacts = polled.peers.sample_contacts(CONTACTS_PER_ANSWER)
         if not self.cut(poll.peer, address):
             event = PeerAnswered(poll.peer, snapshot, True, contacts)
             self.after(self.delay(), lambda: report(event))
--- a/shelfhaven/lab/naive_member.py
+++ b/shelfhaven/lab/naive_member.py
@@ -46,9 +46,9 @@
 class NoPolling(PeerPolling):
     """No peer is ever polled."""
 
-    def spread_first_poll(self, now: float) -> None:
+    def delay_first_poll(self, now: float) -> None:
         """Never."""
-        super().spread_first_poll(now)
+        super().delay_first_poll(now)
         self.due_at = math.inf
 
 
--- a/shelfhaven/membership/actor.py
+++ b/shelfhaven/membership/actor.py
@@ -141,7 +141,7 @@
         if (new is None) != (old is None) or (new and old and new.prefix != old.prefix):
             needs_restart.append("membership list")
         elif new and old and self.service and new.endpoints != old.endpoints:
-            self.service.move(new.endpoints)
+            self.service.set_endpoints(new.endpoints)
             self.config = config
             self.report(ListServiceMoved())
         return needs_restart
@@ -276,7 +276,7 @@
         if peer:
             self.report(PolledByPeer(peer))
         warm = self.readiness.warm(now)
-        contacts = tuple(self.member.peers.some_contacts(CONTACTS_PER_ANSWER))
+        contacts = tuple(self.member.peers.sample_contacts(CONTACTS_PER_ANSWER))
         return PeerAnswer(snapshot, warm, contacts, self.environment.strain(), knowledge)
 
     # Readiness
--- a/shelfhaven/membership/etcd_channel.py
+++ b/shelfhaven/membership/etcd_channel.py
@@ -93,25 +93,27 @@
 class EtcdChannel:
     """One gRPC channel at a time to the service, to its endpoints in turn."""
 
-    def __init__(self, endpoints: Sequence[str], log: Log, failure_event: str, anew: bool = False) -> None:
+    def __init__(
+        self, endpoints: Sequence[str], log: Log, failure_event: str, reconnect_after_failure: bool = False
+    ) -> None:
         self.log = log
         self.failure_event = failure_event  # name of the log event for failures
         # Whether to replace the channel after a failure even if there is only one endpoint, since otherwise
         # gRPC's backoff adds to that of the caller.
-        self.anew = anew
+        self.reconnect_after_failure = reconnect_after_failure
         self.endpoints = list(endpoints)
         self.rotation = cycle(self.endpoints)
         self.channel: grpc.aio.Channel | None = None
         self.closing_tasks: set[asyncio.Task[None]] = set()
         self.request_count = 0  # reported in the log
 
-    def move(self, endpoints: Sequence[str]) -> None:
+    def set_endpoints(self, endpoints: Sequence[str]) -> None:
         """Replace the endpoints; the current channel is closed."""
         self.endpoints = list(endpoints)
         self.rotation = cycle(self.endpoints)
-        self.drop()
+        self.switch_endpoint()
 
-    def drop(self) -> None:
+    def switch_endpoint(self) -> None:
         """Use the next endpoint for further calls; open calls have a grace period to finish."""
         if self.channel:
             task = asyncio.ensure_future(self.channel.close(CLOSE_GRACE_S))
@@ -134,8 +136,8 @@
         text = f"{code.name if code else type(error).__name__}: {error}"
         self.log.event(self.failure_event, error=text[:MAX_LOGGED_ERROR_CHARS])
         overloaded = code is grpc.StatusCode.RESOURCE_EXHAUSTED
-        if not overloaded and (self.anew or len(self.endpoints) > 1):
-            self.drop()
+        if not overloaded and (self.reconnect_after_failure or len(self.endpoints) > 1):
+            self.switch_endpoint()
 
     def call(self, method: str, request: Message, response: type[ResponseT]) -> Awaitable[ResponseT]:
         """Start a unary call; await the result for the response."""
--- a/shelfhaven/membership/etcd_client.py
+++ b/shelfhaven/membership/etcd_client.py
@@ -84,9 +84,9 @@
         """Number of requests sent so far, reported in the log."""
         return self.channel.request_count
 
-    def move(self, endpoints: Sequence[str]) -> None:
+    def set_endpoints(self, endpoints: Sequence[str]) -> None:
         """Replace the endpoints; the current channel is closed."""
-        self.channel.move(endpoints)
+        self.channel.set_endpoints(endpoints)
 
     def carry_out(self, action: Action, key: str = "", value: str = "") -> None:
         """Start an action; `key` and `value` are the entry with which the node registers."""
--- a/shelfhaven/membership/member.py
+++ b/shelfhaven/membership/member.py
@@ -86,7 +86,7 @@
             self.endpoint_list.merge_peer_snapshot(now, start.cached_list)
             self._update_knowledge()
         self.list_watch.plan_read(now)
-        self.peers.spread_first_poll(now)
+        self.peers.delay_first_poll(now)
 
     @property
     def settings(self) -> MemberSettings:
--- a/shelfhaven/membership/peer_polling.py
+++ b/shelfhaven/membership/peer_polling.py
@@ -47,7 +47,7 @@
         """Replace the neighbours: the addresses of peers that the operator configuration names."""
         self.neighbours = [peer for peer in neighbours if peer != self.fleet.identity.address]
 
-    def spread_first_poll(self, now: float) -> None:
+    def delay_first_poll(self, now: float) -> None:
         """Delay the first poll by a random time if the fleet could overload the neighbours otherwise."""
         interval = self._min_interval()
         if interval > 1.0:
@@ -59,7 +59,7 @@
         """Return the estimated cold fraction of the fleet, from the latest answers; 0 without any."""
         return 1.0 - sum(self.warmth) / len(self.warmth) if self.warmth else 0.0
 
-    def some_contacts(self, count: int) -> list[str]:
+    def sample_contacts(self, count: int) -> list[str]:
         """Return the addresses of a few random contacts, for the answer to a peer's poll."""
         known = list(self.contacts)
         return self.fleet.random.sample(known, min(count, len(known)))
--- a/shelfhaven/membership/signed_datagram.py
+++ b/shelfhaven/membership/signed_datagram.py
@@ -15,7 +15,7 @@
 
 JsonValue: TypeAlias = Any  # a decoded value; the checks below validate it
 
-MAC = 16  # length of the digest, which precedes the JSON
+MAC_BYTES = 16  # length of the digest, which precedes the JSON
 MAX_COUNT = 1 << 63  # exclusive, so that a count fits into a signed 64-bit integer
 
 
@@ -30,8 +30,8 @@
 
     Raises ValueError if the digest or the JSON is not valid.
     """
-    body = datagram[MAC:]
-    if not hmac.compare_digest(datagram[:MAC], _digest(secret, body)):
+    body = datagram[MAC_BYTES:]
+    if not hmac.compare_digest(datagram[:MAC_BYTES], _digest(secret, body)):
         raise ValueError("not signed by this fleet")
     try:
         return orjson.loads(body)
@@ -40,7 +40,7 @@
 
 
 def _digest(secret: bytes, body: bytes) -> bytes:
-    return hashlib.blake2b(body, key=secret[: hashlib.blake2b.MAX_KEY_SIZE], digest_size=MAC).digest()
+    return hashlib.blake2b(body, key=secret[: hashlib.blake2b.MAX_KEY_SIZE], digest_size=MAC_BYTES).digest()
 
 
 # Checks of decoded values. Each returns the value, or raises ValueError with a description of the fault.
--- a/tests/consensus/test_etcd_store.py
+++ b/tests/consensus/test_etcd_store.py
@@ -95,7 +95,7 @@
         stub.answer_delays["LeaseKeepAlive"] = 0.3
         renewal = asyncio.ensure_future(store.keep_alive(lease.lease_id))
         await asyncio.sleep(0.1)
-        store.etcd_channel.drop()  # as after the failure of another call
+        store.etcd_channel.switch_endpoint()  # as after the failure of another call
         assert await renewal == 5.0
         stub.answer_delays["LeaseKeepAlive"] = 5.0
         renewal = asyncio.ensure_future(store.keep_alive(lease.lease_id))
--- a/tests/failover/test_gossip.py
+++ b/tests/failover/test_gossip.py
@@ -20,7 +20,7 @@
 from shelfhaven.failover.members import MemberLocation
 from shelfhaven.failover.settings import GossipSettings
 from shelfhaven.failover.wire import encode_message
-from shelfhaven.membership.signed_datagram import MAC, seal
+from shelfhaven.membership.signed_datagram import MAC_BYTES, seal
 from tests.failover.helpers import NINE_NODES, SECRET, GossipGroup
 
 
@@ -143,7 +143,7 @@
     for ping_id in range(20):
         (send,) = node.receive(4.0, Message(MessageKind.PING, ping_id, "b"))
         assert isinstance(send, Send)
-        assert len(seal(SECRET, encode_message(send.message))) <= MAX_MESSAGE_BYTES + MAC
+        assert len(seal(SECRET, encode_message(send.message))) <= MAX_MESSAGE_BYTES + MAC_BYTES
 
 
 def test_message_rate_does_not_depend_on_fleet_size() -> None:
--- a/tests/failover/test_wire.py
+++ b/tests/failover/test_wire.py
@@ -23,7 +23,7 @@
     rounded_class_load,
     vote_size,
 )
-from shelfhaven.membership.signed_datagram import MAC, seal, unseal
+from shelfhaven.membership.signed_datagram import MAC_BYTES, seal, unseal
 from tests.failover.helpers import SECRET
 
 names = st.text(st.characters(codec="ascii", categories=("L", "N")), min_size=1, max_size=12)
@@ -110,8 +110,8 @@
         policy_version=PolicyVersion(7, 3),
     )
     datagram = seal(SECRET, encode_message(message))
-    assert datagram[:MAC].hex() == "9864b8f4abdb91fa3266a9f37c29a0d2"
-    assert datagram[MAC:] == (
+    assert datagram[:MAC_BYTES].hex() == "9864b8f4abdb91fa3266a9f37c29a0d2"
+    assert datagram[MAC_BYTES:] == (
         b'[2,1234567890123,"127.0.0.1:9001","127.0.0.1:9002",['
         b'["n1","z1","127.0.0.1:9001",1700000000123,42,1.23,[40.123,17.988,0.123,0.0,0.5,0.988],'
         b'{"z0":1.0,"z2":0.33},{"look":[0.12,36.1,0.00123],"topup":[1.0,0.0,12300.0]}],'
