--- a/shelfhaven/config/__init__.py
+++ b/shelfhaven/config/__init__.py
@@ -1,6 +1,7 @@
-"""Configuration, read, checked and given defaults: the platform's JSON file, and the simulator's settings.
+"""Reads and validates the platform's JSON file and the simulator's settings, and fills in defaults.
 
-It never decides anything; the operator's KDL file is read by `shelfhaven.operator_config`.
+The package only parses; what the settings lead to is decided elsewhere.  The operator's KDL file is read by
+`shelfhaven.operator_config`.
 """
 
 from __future__ import annotations
--- a/shelfhaven/config/controller_settings.py
+++ b/shelfhaven/config/controller_settings.py
@@ -1,6 +1,6 @@
-"""The controller's settings, from the names that the platform's pages give them.
+"""Builds the controller's settings from options named as in the platform's documentation.
 
-No value here may depend on load, and none is tuned.  Unknown keys are ignored.
+No default may depend on the load or be tuned for it.  Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -42,17 +42,17 @@
     """Return the controller's settings.
 
     Raises:
-        ConfigError: a value makes no sense; it names the path.
+        ConfigError: a value is invalid; the error names its path.
     """
     settings = _read_server(options)
-    settings = _with_phases(settings, options)
+    settings = _with_lifecycle(settings, options)
     settings = _with_callers(settings, options)
     settings = _with_downstream(settings, options)
     return _with_connections(settings, options)
 
 
 def _read_server(options: Options) -> Settings:
-    """The server's resources, what it serves, and its place in the fleet."""
+    """Return settings with the server's resources, its classes and tenants, and its place in the fleet."""
     return Settings(
         cores=int(options.number("domain.cores")),
         memory_kb=options.number("domain.memory-kb"),
@@ -67,8 +67,8 @@
     )
 
 
-def _with_phases(settings: Settings, options: Options) -> Settings:
-    """How the server warms up, crashes under load, and drains."""
+def _with_lifecycle(settings: Settings, options: Options) -> Settings:
+    """Add how the server warms up, when overload crashes it, and how it drains."""
     return replace(
         settings,
         starts_cold=options.flag("domain.cold"),
@@ -82,7 +82,7 @@
 
 
 def _with_callers(settings: Settings, options: Options) -> Settings:
-    """What callers tell the server, what their requests are worth, and what the server tells them."""
+    """Add what callers tell the server, what their requests are worth, and what the server tells them."""
     return replace(
         settings,
         passes_deadline=options.flag("domain.passes-deadline"),
@@ -99,7 +99,7 @@
 
 
 def _with_downstream(settings: Settings, options: Options) -> Settings:
-    """What requests call while they run."""
+    """Add the capacity and behaviour of the service that runs call."""
     return replace(
         settings,
         downstream=options.choice("domain.downstream", DOWNSTREAM_KINDS, "silent"),
@@ -110,7 +110,7 @@
 
 
 def _with_connections(settings: Settings, options: Options) -> Settings:
-    """What connections cost, and the gauges that come with timers."""
+    """Add the cost of connections, and the names of the gauges that are sampled for timers."""
     return replace(
         settings,
         connection_idle_timeout=options.number("domain.idle"),
@@ -144,9 +144,9 @@
 
 
 def parse_lines(text: str) -> Settings:
-    """Return the settings that the simulator sends at a start, as lines of `path=value`.
+    """Parse the settings that the simulator sends when it starts, as lines of `path=value`.
 
-    Whether they make sense together is checked by the controller, which they are for.
+    Each value is checked by itself; the controller checks whether the values are consistent.
     """
     pairs = (line.partition("=") for line in text.splitlines())
     return read_settings(Options({path.strip(): value.strip() for path, _, value in pairs if path.strip()}))
--- a/shelfhaven/config/types.py
+++ b/shelfhaven/config/types.py
@@ -1,4 +1,4 @@
-"""The configuration of one server as typed values, and the error that names what is wrong with it."""
+"""The types of a server's configuration, and the error for a configuration that is invalid."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from shelfhaven.decision.settings import Settings
 from shelfhaven.errors import ShelfhavenError
 
-MAX_ITEMS = 10_000  # of one list; more is no list of classes or tenants
-NAME = re.compile(r"[!-~]{1,128}\Z")  # printable and without spaces: names are words on the agent's wire
+MAX_ITEMS = 10_000  # in one list; no real list of classes or tenants is longer
+NAME = re.compile(r"[!-~]{1,128}\Z")  # no spaces: the agent's protocol separates words by them
 
 
 class ConfigError(ShelfhavenError):
-    """A configuration that cannot be used.
+    """The configuration cannot be read or is invalid.
 
     Attributes:
-        reason: what is wrong, in words.
-        key: the key or property at fault, None where the whole file is.
-        file: the file, None where the caller knows it.
+        reason: what is wrong, as text for the operator.
+        key: the invalid key or property, None if the error concerns the whole file.
+        file: path of the file, None if the caller knows it.
     """
 
     def __init__(self, reason: str, key: str | None = None, file: str | None = None) -> None:
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the program itself may use; `sockets` counts descriptors."""
+    """Resources that the program itself may use; `sockets` is a number of file descriptors."""
 
     cores: float
     memory_mb: float
@@ -53,18 +53,19 @@
     """The configuration of one server.
 
     Attributes:
-        name: the server's name in reports and in the log.
-        listen: where routers connect, None away from the platform.
-        agent: the agent that runs requests, None away from the platform.
-        members: the membership service, None away from the platform.
-        ledger: where downstream calls go, None there and for servers of the last tier.
-        seed: for the controller's random numbers.
-        stop: seconds from the notice to drain until the process is stopped.
-        limits: what the program itself may use.
+        name: the server's name in its status reports and in the log.
+        listen: address for routers to connect to, None without a platform configuration.
+        agent: address of the agent that runs requests, None without a platform configuration.
+        members: address of the membership service, None without a platform configuration.
+        ledger: address of the service for downstream calls, None without a platform configuration and for
+            servers of the last tier.
+        seed: seed of the controller's random numbers.
+        stop: seconds from the signal to drain until the process is killed.
+        limits: resources that the program itself may use.
         settings: the controller's settings.
         classes: names of the classes, in the order of the settings.
         tenants: names of the tenants, in the order of the settings.
-        unsupported: keys that the settings allow and the agent's protocol cannot express.
+        unsupported: keys that are set but that the agent's protocol cannot express; they are ignored.
     """
 
     name: str
@@ -82,10 +83,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that `HOST:PORT` in numbers stands for.
+    """Parse `HOST:PORT`, where HOST is a numeric IPv4 address.
 
     Raises:
-        ValueError: the text is no such address.
+        ValueError: the text is not such an address.
     """
     host, colon, port = text.rpartition(":")
     octets = host.split(".")
--- a/shelfhaven/errors.py
+++ b/shelfhaven/errors.py
@@ -1,11 +1,12 @@
-"""The base of every exception that this package defines.
+"""The base class of all exceptions that this package defines.
 
-A module that can fail in a way of its own derives a class from `ShelfhavenError`, named `...Error`, whose
-attributes say what went wrong.  Built-in exceptions that leave a function are bugs or faults of the system.
+A module with its own kinds of failure derives classes named `...Error` from `ShelfhavenError`, whose
+attributes describe the failure.  A built-in exception that escapes from a function means a bug or a system
+error.
 """
 
 from __future__ import annotations
 
 
 class ShelfhavenError(Exception):
-    """Base class of the errors of this package: catch it to catch all of them."""
+    """Base class of all errors of this package."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed seeds: the same verdict each time."""
+"""Hypothesis profile with fixed seeds, so that test results are reproducible."""
 
 from hypothesis import settings
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: one reader for both forms, and messages that name the faulty key."""
+"""Configuration: both formats yield the same settings, and errors name the invalid key."""
 
 from __future__ import annotations
 
@@ -54,8 +54,8 @@
 }
 
 
-def changed(path: str, value: Any) -> bytes:
-    """The configuration with the value at a path changed, or taken out where it is None."""
+def config_with(path: str, value: Any) -> bytes:
+    """Return the configuration as JSON with the value at a path changed, or removed if it is None."""
     data = copy.deepcopy(CONFIG)
     *parents, last = path.split("/")
     parent: Any = data
@@ -68,7 +68,7 @@
     return orjson.dumps(data)
 
 
-def test_a_whole_configuration() -> None:
+def test_parse_a_complete_configuration() -> None:
     loaded = config.parse_json(orjson.dumps(CONFIG))
     assert (loaded.name, str(loaded.listen), str(loaded.ledger)) == ("n3", "127.0.0.1:4100", "127.0.0.1:8900")
     assert (loaded.seed, loaded.stop, loaded.limits.sockets) == (0x8C1F30D27A5BE964, 3.2, 1024)
@@ -86,22 +86,22 @@
     assert settings.classes[1].key_ttl == 3.0
 
 
-def test_both_forms_give_the_same_settings() -> None:
+def test_both_formats_give_the_same_settings() -> None:
     flat = dict(platform._flatten(SETTINGS, ""))
     lines = "\n".join(f"{path}={value}" for path, value in flat.items())
     assert config.parse_lines(lines) == config.parse_json(orjson.dumps(CONFIG)).settings
 
 
-def test_the_last_tier_has_no_ledger() -> None:
-    assert config.parse_json(changed("ledger", None)).ledger is None
+def test_the_ledger_is_optional() -> None:
+    assert config.parse_json(config_with("ledger", None)).ledger is None
 
 
-def test_what_the_protocol_has_no_word_for_is_told_to_the_module() -> None:
-    loaded = config.parse_json(changed("settings/domain/stop-mode", "suspend"))
+def test_a_setting_that_the_agent_protocol_cannot_express_is_reported_and_ignored() -> None:
+    loaded = config.parse_json(config_with("settings/domain/stop-mode", "suspend"))
     assert (loaded.settings.cancel_mode, loaded.unsupported) == (CancelMode.NONE, ("domain.stop-mode",))
 
 
-FAULTS = [
+INVALID_VALUES = [  # path, value, key that the error names
     ("name", None, "name"),
     ("name", "two words", "name"),
     ("listen", None, "listen"),
@@ -139,10 +139,10 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "value", "key"), FAULTS)
-def test_a_fault_names_its_key(path: str, value: Any, key: str) -> None:
+@pytest.mark.parametrize(("path", "value", "key"), INVALID_VALUES)
+def test_an_error_names_the_key_of_the_invalid_value(path: str, value: Any, key: str) -> None:
     with pytest.raises(config.ConfigError) as caught:
-        config.parse_json(changed(path, value))
+        config.parse_json(config_with(path, value))
     assert str(caught.value).startswith(f"{key}: ")
 
 
@@ -161,38 +161,40 @@
 
 
 @pytest.mark.parametrize("line", ["domain.stop-mode=drop", "callers.marks-retry=2", "classes.0.repeat=safe"])
-def test_a_word_that_the_wire_does_not_have_is_refused_by_its_key(line: str) -> None:
+def test_an_unknown_word_is_an_error_that_names_the_key(line: str) -> None:
     with pytest.raises(config.ConfigError, match=line.partition("=")[0]):
         config.parse_lines(f"domain.cores=2\ndomain.memory-kb=100\nclasses.count=1\n{line}\n")
 
 
 @pytest.mark.parametrize("text", [b"", b"{", b"[]", b"\xff"])
-def test_what_is_no_object_is_said_so(text: bytes) -> None:
+def test_a_text_that_is_not_a_json_object_is_an_error(text: bytes) -> None:
     with pytest.raises(config.ConfigError, match="JSON"):
         config.parse_json(text)
 
 
-def run(command: str, path: Path) -> tuple[int, str]:
-    done = CliRunner().invoke(main, [command, "--config", str(path)])
-    return done.exit_code, done.output
+def run_command(command: str, path: Path) -> tuple[int, str]:
+    result = CliRunner().invoke(main, [command, "--config", str(path)])
+    return result.exit_code, result.output
 
 
 def test_check_config(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(orjson.dumps(CONFIG))
-    code, output = run("check-config", path)
+    code, output = run_command("check-config", path)
     assert code == 0
     assert "n3 on 127.0.0.1:4100, classes look, pay" in output
 
 
 @pytest.mark.parametrize("command", ["check-config", "serve"])
-def test_a_faulty_configuration_ends_the_program_at_once(command: str, tmp_path: Path) -> None:
+def test_commands_exit_with_an_error_on_an_invalid_or_missing_configuration(
+    command: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
-    path.write_bytes(changed("settings/domain/cores", 0))
-    code, output = run(command, path)
+    path.write_bytes(config_with("settings/domain/cores", 0))
+    code, output = run_command(command, path)
     assert code == 2
     assert "settings.domain.cores: missing or 0" in output
-    code, output = run(command, tmp_path / "absent.json")
+    code, output = run_command(command, tmp_path / "absent.json")
     assert code == 2
     assert "cannot be read" in output
 
@@ -201,16 +203,16 @@
     assert CliRunner().invoke(main, ["version"]).output == f"{__version__}\n"
 
 
-def test_settings_nested_beyond_all_measure_are_a_fault_that_names_them() -> None:
+def test_settings_nested_too_deeply_are_an_error() -> None:
     depth = 1000
     text = b'{"name":"n3","settings":' + b'{"a":' * depth + b"1" + b"}" * depth + b"}"
     with pytest.raises(config.ConfigError, match="settings: nested too deeply"):
         config.parse_json(text)
 
 
-def test_an_error_carries_the_key_at_fault_and_the_reason() -> None:
+def test_an_error_has_the_invalid_key_and_the_reason_as_attributes() -> None:
     with pytest.raises(ConfigError) as caught:
-        config.parse_json(changed("stop_ms", "soon"))
+        config.parse_json(config_with("stop_ms", "soon"))
     error = caught.value
     assert (error.key, error.reason, error.file) == ("stop_ms", "not a number above 0", None)
     assert str(error) == "stop_ms: not a number above 0"
