--- a/shelfhaven/server/background_tasks.py
+++ b/shelfhaven/server/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the caller and end with their owner."""
+"""Background tasks whose lifetime is bound to an owner."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class BackgroundTasks:
-    """Owns tasks until they are done or cancelled."""
+    """Holds references to running tasks, so that none is garbage-collected and all can be cancelled."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[object]] = set()
 
-    def start(self, work: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
-        """Run a coroutine as a task."""
-        task: asyncio.Task[Result] = asyncio.ensure_future(work)
+    def start(self, coroutine: Coroutine[object, object, Result]) -> asyncio.Task[Result]:
+        """Start a coroutine as a task of the running event loop."""
+        task: asyncio.Task[Result] = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def cancel(self) -> None:
-        """Cancel all tasks that are not done."""
+        """Cancel every task that has not finished."""
         for task in list(self._tasks):
             task.cancel()
--- a/shelfhaven/server/clocks.py
+++ b/shelfhaven/server/clocks.py
@@ -1,6 +1,6 @@
-"""The clocks of the core: monotonic time, Unix time, and the time of the event in hand.
+"""The clocks of the core: monotonic time, Unix time, and the time of the event being handled.
 
-Invariant: `now` never goes back, whatever the clock does.
+Invariant: `now` never decreases, even if the monotonic clock does.
 """
 
 from __future__ import annotations
@@ -9,18 +9,18 @@
 
 
 class Clocks:
-    """Reads time for the core; tests hand in clocks of their own."""
+    """The time sources of the core; tests pass in clocks that they control."""
 
     def __init__(self, monotonic: Callable[[], float], wall: Callable[[], float]) -> None:
-        self.monotonic = monotonic  # seconds from any origin
+        self.monotonic = monotonic  # seconds since an arbitrary origin
         self.wall = wall  # seconds since the Unix epoch
-        self.now = monotonic()  # of the event in hand, by the monotonic clock
+        self.now = monotonic()  # monotonic time of the event being handled
 
     def advance(self) -> float:
-        """Set `now` for the next event and return it."""
+        """Set `now` to the time of the next event and return it."""
         self.now = self.latest()
         return self.now
 
     def latest(self) -> float:
-        """The monotonic time, not before `now`."""
+        """Return the current monotonic time, but never less than `now`."""
         return max(self.now, self.monotonic())
--- a/shelfhaven/server/connection_eviction.py
+++ b/shelfhaven/server/connection_eviction.py
@@ -1,7 +1,7 @@
-"""Which connections are closed first when others wait for their descriptors.
+"""The order in which connections are closed to free descriptors for new ones.
 
-Owns the order alone and does no I/O: whether a connection can be closed with nothing lost is for its owner to
-find out.
+This module computes the order only and does no I/O.  The owner of a connection checks whether it can be
+closed without losing data.
 """
 
 from __future__ import annotations
@@ -9,27 +9,28 @@
 from collections.abc import Collection
 from typing import Protocol, TypeVar
 
-RESERVED_FRACTION = 0.5  # of the connections: up to it, those that have sent a message are not evicted
+PROTECTED_ACTIVE_FRACTION = 0.5  # active connections up to this fraction of all are not evicted
 
 
 class EvictableConnection(Protocol):
-    """A connection that has a descriptor."""
+    """A connection as the eviction order sees it."""
 
-    silent: bool  # no complete message has come yet
-    used: float  # when it was last used, by any one clock
+    silent: bool  # no complete message has been received yet
+    used: float  # time of the last use; all connections use the same clock
 
 
 ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
 
 
 def eviction_order(connections: Collection[ConnectionT]) -> list[ConnectionT]:
-    """Connections that may be evicted: silent ones first, and of each kind the least recently used.
+    """Return the connections that may be evicted, in the order in which to evict them.
 
-    While those that have sent a message are no more than their reserved fraction only silent ones may be:
-    newcomers wait for them, as they have little time for a message.
+    Silent connections come first, then active ones (those that have sent a message), each in least recently
+    used order.  While the active connections are no more than `PROTECTED_ACTIVE_FRACTION` of all, only silent
+    ones may be evicted: new connections can wait for those, which must send a message within a short time.
     """
     silent = [connection for connection in connections if connection.silent]
     active_count = len(connections) - len(silent)
-    only_silent = active_count <= RESERVED_FRACTION * len(connections)
+    only_silent = active_count <= PROTECTED_ACTIVE_FRACTION * len(connections)
     candidates = silent if only_silent else connections
     return sorted(candidates, key=lambda connection: (not connection.silent, connection.used))
--- a/shelfhaven/server/key_table.py
+++ b/shelfhaven/server/key_table.py
@@ -1,7 +1,7 @@
-"""The table of idempotency keys: which attempt holds a key, until when, and with which result.
+"""The table of idempotency keys: which attempt holds each key, until when, and its result.
 
-Owns entries and their expiry.  It must not decide whether a request runs: that is for the controller, which
-is told the original of a duplicate.
+This module owns the entries and their expiry.  It does not decide whether a request runs: the controller
+does, and is told the original of a duplicate.
 """
 
 from __future__ import annotations
@@ -18,23 +18,24 @@
 class KeyEntry:
     """The attempt that holds a key.
 
-    A duplicate counts by when it reached the machine.  One that did so before `valid_until` may be read
-    later, up to its own deadline: so an entry outlives its validity.
+    Whether an attempt is a duplicate depends on when it reached the machine.  One that arrived before
+    `valid_until` may be read after it, up to its own deadline, so the entry is kept until `forget_at`.
     """
 
     request_id: int
     valid_until: float  # monotonic seconds
     forget_at: float  # monotonic seconds
-    stored_digest: bytes | None = None  # names the result of a previous incarnation, which may be fetched
+    stored_digest: bytes | None = None  # key of a previous incarnation's result in the key store
 
 
 class KeyTable:
-    """Entries by key, with their results."""
+    """The entries and the stored results, by key."""
 
     def __init__(self, results: ResultStore) -> None:
         self.results = results
         self.entries: dict[RequestKey, KeyEntry] = {}
-        self.expirations: list[tuple[float, RequestKey]] = []  # heap; an entry that moved has several
+        # heap of removal times; an entry that was replaced or extended has several
+        self.expirations: list[tuple[float, RequestKey]] = []
 
     def __len__(self) -> int:
         return len(self.entries)
@@ -43,46 +44,49 @@
         return key in self.entries
 
     def get(self, key: RequestKey) -> KeyEntry | None:
-        """The entry of a key."""
+        """Return the entry of a key, None if there is none."""
         return self.entries.get(key)
 
-    def owned_by(self, key: RequestKey, request_id: int | None) -> KeyEntry | None:
-        """The entry of a key, if that attempt holds it."""
+    def get_if_held_by(self, key: RequestKey, request_id: int | None) -> KeyEntry | None:
+        """Return the entry of a key, None if another attempt or none holds the key."""
         entry = self.entries.get(key)
         return entry if entry and entry.request_id == request_id else None
 
     def put(self, key: RequestKey, entry: KeyEntry) -> None:
-        """Enter a key; an earlier entry is dropped with its result."""
+        """Add the entry of a key; an earlier entry is removed together with its result."""
         self.remove(key)
         self.entries[key] = entry
         heapq.heappush(self.expirations, (entry.forget_at, key))
 
     def remove(self, key: RequestKey) -> None:
-        """Drop a key and its result."""
+        """Remove a key and its result."""
         self.results.remove(key)
         self.entries.pop(key, None)
 
     def store_result(self, key: RequestKey, request_id: int, body: bytes) -> None:
-        """Keep the result of the attempt that holds a key; that the key has run stays when it is dropped."""
-        if self.owned_by(key, request_id):
+        """Store the result of a run, if that attempt holds the key.
+
+        The entry, and so the fact that the key has run, stays when the result is evicted.
+        """
+        if self.get_if_held_by(key, request_id):
             self.results.put(key, body)
 
-    def result_of(self, key: RequestKey, request_id: int | None) -> bytes | None:
-        """The result of a key, if that attempt holds it and the result is still there."""
-        return self.results.get(key) if self.owned_by(key, request_id) else None
+    def get_result(self, key: RequestKey, request_id: int | None) -> bytes | None:
+        """Return the result of a key, None if that attempt does not hold it or the result was evicted."""
+        return self.results.get(key) if self.get_if_held_by(key, request_id) else None
 
     def expire(
         self, now: float, in_use: Callable[[int], bool], extension: Callable[[RequestKey], float]
     ) -> None:
-        """Forget the entries whose time is over, except those in use.
+        """Remove the entries that have expired and whose attempts are not in use.
 
-        An attempt that outlasts its key's validity still has duplicates linked to it: its entry stays for the
-        seconds of `extension`.
+        Duplicates may still refer to an attempt that runs longer than its key is valid, so its entry is
+        extended by the seconds that `extension` returns for the key.
         """
         while self.expirations and self.expirations[0][0] <= now:
-            expires_at, key = heapq.heappop(self.expirations)
+            scheduled_at, key = heapq.heappop(self.expirations)
             entry = self.entries.get(key)
-            if entry is None or entry.forget_at > expires_at:
+            if entry is None or entry.forget_at > scheduled_at:
                 continue
             if in_use(entry.request_id):
                 entry.forget_at = now + extension(key)
--- a/shelfhaven/server/load_reporter.py
+++ b/shelfhaven/server/load_reporter.py
@@ -1,9 +1,11 @@
-"""The membership service's actor: reports by datagram that this server is there.
+"""The actor that reports to the membership service, by UDP datagram, that this server is alive.
 
-Owns the datagram socket and the interval of reports.  It must never wait for the service or fail with it.
+It owns the socket and the timer of the reports.  It never waits for the service and never fails when the
+service does.
 
-The first report to an address comes after a fraction of the interval that is the server's own, so that
-hundreds that start, or change address, together do not report together ever after.
+The first report to an address is sent after a fraction of the interval that depends on the server's name.
+Without that, hundreds of servers that start or change the address together would all report at the same
+moments from then on.
 """
 
 from __future__ import annotations
@@ -19,27 +21,27 @@
 from shelfhaven.server.log import Log
 from shelfhaven.server.mailbox import Mailbox
 
-REPORT_INTERVAL = 0.25  # seconds; a server leaves the list after 3, so eleven reports in a row may be lost
+REPORT_INTERVAL = 0.25  # seconds; the list drops a server after 3 without one, so 11 in a row may be lost
 
 
 class LoadReporter:
-    """Reports to one address at a time; without an address it is silent."""
+    """Reports to one address at a time, or to none without an address."""
 
     def __init__(self, address: Address | None, name: str, log: Log) -> None:
         self.address = address
         self.name = name
         self.mailbox: Mailbox[messages.ReportStatus] = Mailbox(self._set_status, log)
-        self.accepting = True  # whether the server takes work
+        self.accepting = True  # whether the server accepts requests
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.setblocking(False)
         self.timer: asyncio.TimerHandle | None = None  # None before `start`
 
     def put(self, message: messages.ReportStatus) -> None:
-        """Take the status to report from now on."""
+        """Queue the status to report from now on."""
         self.mailbox.put(message)
 
     def set_address(self, address: Address | None) -> None:
-        """Report to another address from now on, and soon: the last report may have been lost."""
+        """Report to another address from now on, starting anew with a first report."""
         if address != self.address:
             self.address = address
             if self.timer:
@@ -47,7 +49,7 @@
                 self._schedule_first()
 
     def start(self) -> None:
-        """Report from now on, if there is a service."""
+        """Start reporting, if there is an address."""
         if self.address:
             self._schedule_first()
 
@@ -62,7 +64,7 @@
         self.timer = asyncio.get_running_loop().call_later(delay, self._report)
 
     def _set_status(self, status: messages.ReportStatus) -> None:
-        """Report a change at once."""
+        """Report a change of status at once."""
         if status.accepting != self.accepting:
             self.accepting = status.accepting
             if self.timer:
--- a/shelfhaven/server/log.py
+++ b/shelfhaven/server/log.py
@@ -1,7 +1,7 @@
-"""The log: one JSON line an event on standard error.
+"""The log: one JSON line per event on standard error.
 
-Owns the form of a line and the limit on lines per second of one event.  It must never block on its reader,
-fail with it, or raise into what it reports on.
+This module defines the format of a line and limits the lines per second of each event.  Logging never blocks
+on a slow reader, never fails because the reader is gone, and never raises an exception into the caller.
 """
 
 from __future__ import annotations
@@ -17,34 +17,35 @@
 
 import orjson
 
-MAX_LINES_PER_SECOND = 20  # of one event; what is left out is counted in the next line
-MAX_TEXT_LENGTH = 1000  # characters of one field; a line under 4 KiB goes into a pipe whole or not at all
-TRACEBACK_LIMIT = -4  # the innermost calls, which tell most in the least space
+MAX_LINES_PER_SECOND = 20  # per event name; the next line that is written tells how many were left out
+# characters per field, of which the last are kept; a pipe takes a line under 4 KiB whole or not at all
+MAX_TEXT_LENGTH = 1000
+TRACEBACK_LIMIT = -4  # the four innermost calls, which are the most useful ones
 
 
 @dataclass(slots=True)
-class _Rate:
-    """Lines of one event."""
+class _LineCounter:
+    """Counts the lines of one event within the current second."""
 
-    second: int  # Unix time in which `lines` were counted
+    second: int  # Unix time of the second to which `lines` applies
     lines: int
-    suppressed: int  # since the last line that was written
+    suppressed: int  # events left out since the last line that was written
 
 
 class Log:
-    """Writes events."""
+    """Writes events as JSON lines to a file descriptor."""
 
     def __init__(self, name: str, descriptor: int | None = None) -> None:
         self.name = name
         self.descriptor = sys.stderr.fileno() if descriptor is None else descriptor
         if stat.S_ISFIFO(os.fstat(self.descriptor).st_mode):
-            os.set_blocking(self.descriptor, False)  # a reader that stalls costs lines, not the server
-        self.rates: dict[str, _Rate] = {}
+            os.set_blocking(self.descriptor, False)  # a stalled reader loses lines, and blocks nothing
+        self.line_counters: dict[str, _LineCounter] = {}
 
     def event(self, event: str, **fields: object) -> None:
-        """Write one event, unless too many of its name were written in this second."""
+        """Write one event, unless too many of the same name were written in this second."""
         now = time.time()
-        suppressed = self._count(event, int(now))
+        suppressed = self._count_line(event, int(now))
         if suppressed is None:
             return
         if suppressed:
@@ -57,25 +58,25 @@
             os.write(self.descriptor, orjson.dumps(line, default=str) + b"\n")
 
     def exception(self, event: str, **fields: object) -> None:
-        """Write one event with the traceback of the exception in hand."""
+        """Write one event with the traceback of the exception that is being handled."""
         self.event(event, **fields, error=traceback.format_exc(limit=TRACEBACK_LIMIT))
 
-    def _count(self, event: str, second: int) -> int | None:
-        """Count one more event: how many were suppressed before it, None if it is to be suppressed itself."""
-        rate = self.rates.setdefault(event, _Rate(second, 0, 0))
-        if rate.second != second:
-            rate.second = second
-            rate.lines = 0
-        rate.lines += 1
-        if rate.lines > MAX_LINES_PER_SECOND:
-            rate.suppressed += 1
+    def _count_line(self, event: str, second: int) -> int | None:
+        """Count an event; return the number suppressed since the last line, None to suppress this one too."""
+        counter = self.line_counters.setdefault(event, _LineCounter(second, 0, 0))
+        if counter.second != second:
+            counter.second = second
+            counter.lines = 0
+        counter.lines += 1
+        if counter.lines > MAX_LINES_PER_SECOND:
+            counter.suppressed += 1
             return None
-        suppressed, rate.suppressed = rate.suppressed, 0
+        suppressed, counter.suppressed = counter.suppressed, 0
         return suppressed
 
 
 class LibraryLogHandler(logging.Handler):
-    """Writes what libraries log by the standard `logging` into the same log, under the same limits."""
+    """Writes the warnings and errors that libraries report through `logging` as events of the same log."""
 
     def __init__(self, log: Log) -> None:
         super().__init__(logging.WARNING)
--- a/shelfhaven/server/mailbox.py
+++ b/shelfhaven/server/mailbox.py
@@ -1,8 +1,7 @@
-"""Mailboxes: how actors take messages, one at a time.
+"""Mailboxes, which deliver messages to an actor one at a time, and helpers for reading sockets first.
 
-Owns the queue of one actor and its call from the event loop, and the wait for what lies in the sockets.  It
-must never reorder or drop a message; an exception of the actor is logged and costs only the message that
-raised it.
+A mailbox never reorders or drops a message.  An exception raised while a message is handled is logged and
+affects that message only.
 """
 
 from __future__ import annotations
@@ -19,13 +18,16 @@
 MessageT = TypeVar("MessageT")
 Args = TypeVarTuple("Args")
 
-READING_ITERATIONS = 5  # of the event loop, in which what already lies in the sockets is read and handled
+READING_ITERATIONS = 5  # of the event loop: enough to read and handle the data that the sockets already hold
 
 
 def after_reading(
     callback: Callable[[*Args], None], *args: *Args, iterations: int = READING_ITERATIONS
 ) -> None:
-    """Call once what lies in the sockets is read: a late loop must not break a due time."""
+    """Call `callback` after the data that the sockets already hold has been read and handled.
+
+    When the event loop runs late, a timer may expire before the message that would have been in time is read.
+    """
     if iterations > 0:
         next_iteration = partial(after_reading, callback, *args, iterations=iterations - 1)
         asyncio.get_running_loop().call_soon(next_iteration)
@@ -33,10 +35,10 @@
         callback(*args)
 
 
-def peek(connected: socket.socket) -> bytes | None:
-    """The first unread byte of a socket; empty at its end, None if there is nothing."""
+def peek(sock: socket.socket) -> bytes | None:
+    """Return the next byte without consuming it; empty at the end of the stream, None if no data is there."""
     try:
-        return connected.recv(1, socket.MSG_PEEK)
+        return sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return None
     except OSError:
@@ -44,11 +46,11 @@
 
 
 def _discard(_: object) -> None:
-    """Take a message of an actor that has ended."""
+    """Discard a message to an actor that has ended."""
 
 
 class Mailbox(Generic[MessageT]):
-    """Queue of one actor; all its messages are handled as one batch in the next iteration of the loop."""
+    """The message queue of one actor; each iteration of the event loop handles all messages as a batch."""
 
     def __init__(
         self,
@@ -57,22 +59,22 @@
         after_batch: Callable[[], None] | None = None,
     ) -> None:
         self.handle = handle
-        self.after_batch = after_batch  # called once all messages of a batch are handled
+        self.after_batch = after_batch  # called after the last message of each batch
         self.log = log
         self.queue: deque[MessageT] = deque()
         self.scheduled = False
 
     def end(self) -> None:
-        """Release the actor, which has ended: what still comes is discarded.
+        """Drop the reference to the actor, which has ended, and discard all further messages.
 
-        Actor and mailbox refer to each other; one that ends would stay until a collection of all generations,
-        which a steady server hardly ever makes.
+        Actor and mailbox refer to each other.  That cycle would be freed only by a full garbage collection,
+        which a server under steady load hardly ever runs.
         """
         self.handle = _discard
         self.after_batch = None
 
     def put(self, message: MessageT) -> None:
-        """Add a message."""
+        """Queue a message for the next iteration of the event loop."""
         self.queue.append(message)
         if not self.scheduled:
             self.scheduled = True
@@ -81,11 +83,11 @@
     def _handle_batch(self) -> None:
         self.scheduled = False
         while self.queue:
-            self._call_guarded(self.handle, self.queue.popleft())
+            self._call_logging_errors(self.handle, self.queue.popleft())
         if self.after_batch:
-            self._call_guarded(self.after_batch)
+            self._call_logging_errors(self.after_batch)
 
-    def _call_guarded(self, callback: Callable[[*Args], None], *args: *Args) -> None:
+    def _call_logging_errors(self, callback: Callable[[*Args], None], *args: *Args) -> None:
         try:
             callback(*args)
         except Exception:
--- a/shelfhaven/server/result_store.py
+++ b/shelfhaven/server/result_store.py
@@ -1,6 +1,7 @@
-"""Results of runs, kept for duplicates within a bound of bytes.
+"""An in-memory store of run results for duplicates, limited in bytes.
 
-Owns nothing but bodies: when a key expires is for the key table.  The oldest results make room for new ones.
+The store holds result bodies only; the key table decides when a key expires.  When the limit is exceeded, the
+oldest results are evicted.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class ResultStore:
-    """Bodies by key, oldest first; their total size never exceeds the capacity."""
+    """Result bodies by key, oldest first; their total size never exceeds the capacity."""
 
     def __init__(self, capacity_bytes: int) -> None:
         self.capacity_bytes = capacity_bytes
@@ -22,11 +23,11 @@
         return len(self.bodies)
 
     def get(self, key: RequestKey) -> bytes | None:
-        """The result of a key; None if there is none, or none any more."""
+        """Return the result of a key, None if it was never stored or has been evicted."""
         return self.bodies.get(key)
 
     def put(self, key: RequestKey, body: bytes) -> None:
-        """Store the result of a key that has none, and drop the oldest results beyond the capacity."""
+        """Store the result of a key that has none, and evict the oldest results beyond the capacity."""
         self.bodies[key] = body
         self.size_bytes += len(body)
         while self.size_bytes > self.capacity_bytes:
@@ -34,7 +35,7 @@
             self.size_bytes -= len(oldest)
 
     def remove(self, key: RequestKey) -> None:
-        """Drop the result of a key, if there is one."""
+        """Remove the result of a key, if there is one."""
         body = self.bodies.pop(key, None)
         if body is not None:
             self.size_bytes -= len(body)
--- a/shelfhaven/server/timers.py
+++ b/shelfhaven/server/timers.py
@@ -1,8 +1,8 @@
-"""The controller's timers, with one alarm of the event loop for the earliest of them.
+"""The controller's timers: a heap, and one event-loop timer (the alarm) for the earliest of them.
 
-Owns the heap, the alarm, and the gauges that go along with a timer.  When a timer is due, the runner is first
-asked for fresh gauges and what lies in the sockets is read: a late loop must not break a due time.  Timers of
-requests that are over are dropped unseen.
+When a timer is due, the runner is first asked for a sample of the gauges, which is passed on with the timer,
+and the data that the sockets already hold is read: when the event loop runs late, a message that arrived in
+time must not lose against a timer.  Timers of requests that are over are discarded without firing.
 """
 
 from __future__ import annotations
@@ -21,20 +21,23 @@
 from shelfhaven.server.mailbox import after_reading
 from shelfhaven.server.request_table import RequestTable
 
-GAUGES_WAIT = 0.01  # seconds that due timers wait for fresh gauges at most
+GAUGES_WAIT = 0.01  # seconds; the longest that due timers wait for a sample of the gauges
 
 
 class Timer(NamedTuple):
-    """A timer in the heap; `order` keeps those of one moment in the order in which they were set."""
+    """A timer in the heap; `sequence` sorts timers of the same due time by when they were set."""
 
     due: float  # monotonic seconds
-    order: int
+    sequence: int
     token: int
     request_id: int | None
 
 
 class Timers:
-    """Emits `TimerFired` when timers are due."""
+    """Sets timers and emits a `TimerFired` event for each that is due.
+
+    `process_emitted` has the controller handle the events that were emitted outside of a message.
+    """
 
     def __init__(
         self,
@@ -42,18 +45,18 @@
         requests: RequestTable,
         actors: ConnectedActors,
         emit: Callable[[TimerFired], None],
-        settle: Callable[[], None],
+        process_emitted: Callable[[], None],
     ) -> None:
         self.clocks = clocks
         self.requests = requests
         self.actors = actors
         self.emit = emit
-        self.settle = settle  # makes the controller take what was emitted outside of a message
+        self.process_emitted = process_emitted
         self.heap: list[Timer] = []
-        self.orders = itertools.count()
+        self.sequence_numbers = itertools.count()
         self.alarm: asyncio.TimerHandle | None = None
         self.alarm_due = math.inf
-        self.awaited_sample: str | None = None  # tag of the sample that due timers wait for
+        self.awaited_sample: str | None = None  # tag of the gauge sample that due timers wait for
         self.sample_numbers = itertools.count(1)
         self.gauges: tuple[float, ...] = ()
 
@@ -61,18 +64,18 @@
         return len(self.heap)
 
     def next_due(self) -> float | None:
-        """When the earliest timer is due."""
+        """Return the due time of the earliest timer, None if no timer is set."""
         return self.heap[0].due if self.heap else None
 
     def set(self, token: int, delay: float, request_id: int | None = None) -> None:
-        """Set a timer, `delay` seconds after the event in hand."""
+        """Set a timer that is due `delay` seconds after the event being handled."""
         due = self.clocks.now + delay
-        heapq.heappush(self.heap, Timer(due, next(self.orders), token, request_id))
+        heapq.heappush(self.heap, Timer(due, next(self.sequence_numbers), token, request_id))
 
     def update_alarm(self) -> None:
         """Set the event loop's alarm for the earliest timer, unless due timers wait for gauges."""
         while self.heap and self._is_obsolete(self.heap[0]):
-            heapq.heappop(self.heap)  # most requests are over long before they are due
+            heapq.heappop(self.heap)  # most requests are over long before their timers are due
         if not self.heap or self.awaited_sample is not None:
             return
         due = self.heap[0].due
@@ -85,7 +88,7 @@
         self.alarm = loop.call_later(max(0.0, due - self.clocks.monotonic()), self.on_alarm)
 
     def on_alarm(self) -> None:
-        """A timer is due: sample the gauges first."""
+        """Handle the alarm: request a sample of the gauges, then fire the due timers."""
         self.alarm = None
         self.alarm_due = math.inf
         tag = self.awaited_sample = f"t{next(self.sample_numbers)}"
@@ -96,20 +99,20 @@
             self._fire_after_reading(tag)
 
     def on_gauges(self, sample: messages.GaugesSampled) -> None:
-        """Take new gauges; due timers that waited for this sample fire."""
+        """Store a gauge sample, and fire the due timers if they waited for it."""
         self.gauges = sample.values
         if sample.tag == self.awaited_sample:
             self._fire()
 
     def on_runner_disconnected(self) -> None:
-        """The awaited sample may never come: fire without it."""
+        """Fire due timers without the sample that they wait for, which may never arrive."""
         self._fire_after_reading(self.awaited_sample)
 
     def fire_unless_sampled(self, tag: str | None) -> None:
-        """Fire due timers if they still wait for that sample."""
+        """Fire due timers if they still wait for the sample with this tag."""
         if tag is not None and tag == self.awaited_sample:
             self._fire()
-            self.settle()
+            self.process_emitted()
 
     def _fire_after_reading(self, tag: str | None) -> None:
         after_reading(self.fire_unless_sampled, tag)
--- a/tests/server/test_background_tasks.py
+++ b/tests/server/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that end with their owner."""
+"""Background tasks: they run until they finish or their owner cancels them."""
 
 from __future__ import annotations
 
--- a/tests/server/test_descriptors.py
+++ b/tests/server/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The descriptors that connections share, and which connections are evicted for others."""
+"""The limit on descriptors, and the order in which connections are evicted."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from shelfhaven.server.connection_eviction import eviction_order
-from shelfhaven.server.descriptors import INBOUND_HEADROOM, OTHER_DESCRIPTORS, Descriptors
+from shelfhaven.server.descriptors import INBOUND_HEADROOM, NON_CONNECTION_DESCRIPTORS, Descriptors
 
 STEPS = ("open inbound", "open outbound", "close inbound", "close outbound")
 
 
 @given(st.integers(16, 80), st.lists(st.sampled_from(STEPS)))
-def test_never_more_than_the_limit_and_outbound_connections_keep_their_reserve(
+def test_the_limit_is_never_exceeded_and_outbound_connections_keep_their_reserved_descriptors(
     limit: int, steps: list[str]
 ) -> None:
     descriptors = Descriptors(limit)
@@ -31,11 +31,15 @@
                 descriptors.release_inbound()
             case "close outbound" if descriptors.outbound:
                 descriptors.release_outbound()
-        assert descriptors.inbound + descriptors.outbound <= descriptors.capacity <= limit - OTHER_DESCRIPTORS
+        assert (
+            descriptors.inbound + descriptors.outbound
+            <= descriptors.capacity
+            <= limit - NON_CONNECTION_DESCRIPTORS
+        )
         assert descriptors.inbound <= descriptors.max_inbound <= limit // 2
 
 
-def test_outbound_connections_borrow_unused_descriptors_and_return_them_when_wanted() -> None:
+def test_outbound_connections_borrow_unused_descriptors_until_inbound_ones_need_them() -> None:
     descriptors = Descriptors(40)
     counts_when_released: list[int] = []
     descriptors.on_released.append(lambda: counts_when_released.append(descriptors.outbound))
@@ -54,24 +58,37 @@
 
 
 @dataclass
-class Idle:
-    """A connection that nobody uses."""
+class IdleConnection:
+    """An idle connection."""
 
     name: str
     silent: bool
     used: float
 
 
-def _order(*connections: Idle) -> list[str]:
+def _eviction_order_of(*connections: IdleConnection) -> list[str]:
     return [connection.name for connection in eviction_order(connections)]
 
 
-def test_silent_connections_are_evicted_first_and_of_each_kind_the_least_recently_used() -> None:
-    active = [Idle("a", False, 3.0), Idle("b", False, 1.0), Idle("c", False, 2.0)]
-    assert _order(*active, Idle("s", True, 9.0), Idle("t", True, 8.0)) == ["t", "s", "b", "c", "a"]
-
-
-def test_active_connections_up_to_half_are_not_evicted_for_others() -> None:
-    active = [Idle("a", False, 0.0), Idle("b", False, 0.0)]
-    assert _order(*active, Idle("s", True, 9.0), Idle("t", True, 8.0)) == ["t", "s"]
-    assert _order(*active) == ["a", "b"]
+def test_silent_connections_are_evicted_first_each_kind_in_least_recently_used_order() -> None:
+    active = [
+        IdleConnection("a", False, 3.0),
+        IdleConnection("b", False, 1.0),
+        IdleConnection("c", False, 2.0),
+    ]
+    assert _eviction_order_of(*active, IdleConnection("s", True, 9.0), IdleConnection("t", True, 8.0)) == [
+        "t",
+        "s",
+        "b",
+        "c",
+        "a",
+    ]
+
+
+def test_active_connections_are_not_evicted_while_they_are_at_most_half() -> None:
+    active = [IdleConnection("a", False, 0.0), IdleConnection("b", False, 0.0)]
+    assert _eviction_order_of(*active, IdleConnection("s", True, 9.0), IdleConnection("t", True, 8.0)) == [
+        "t",
+        "s",
+    ]
+    assert _eviction_order_of(*active) == ["a", "b"]
--- a/tests/server/test_key_table.py
+++ b/tests/server/test_key_table.py
@@ -1,4 +1,4 @@
-"""Idempotency keys and stored results: who holds a key, until when, and within which bound of bytes."""
+"""The table of idempotency keys: holders, expiry, and the size limit of stored results."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     table.expire(now, (in_use or set()).__contains__, lambda _: 5.0)
 
 
-def test_only_the_holder_stores_and_gets_the_result_of_a_key() -> None:
+def test_only_the_holder_of_a_key_stores_and_gets_its_result() -> None:
     table = _table()
     table.put(FIRST, KeyEntry(1, 10.0, 12.0))
     table.store_result(FIRST, 2, b"of another attempt")
-    assert table.result_of(FIRST, 1) is None
+    assert table.get_result(FIRST, 1) is None
     table.store_result(FIRST, 1, b"result")
-    assert table.result_of(FIRST, 1) == b"result"
-    assert table.result_of(FIRST, 2) is None
-    assert table.result_of(FIRST, None) is None
-    assert table.result_of(SECOND, 1) is None
+    assert table.get_result(FIRST, 1) == b"result"
+    assert table.get_result(FIRST, 2) is None
+    assert table.get_result(FIRST, None) is None
+    assert table.get_result(SECOND, 1) is None
 
 
-def test_a_new_entry_drops_the_result_of_the_one_before() -> None:
+def test_a_new_entry_removes_the_result_of_the_previous_one() -> None:
     table = _table()
     table.put(FIRST, KeyEntry(1, 10.0, 12.0))
     table.store_result(FIRST, 1, b"result")
     table.put(FIRST, KeyEntry(2, 20.0, 22.0))
-    assert table.result_of(FIRST, 2) is None
+    assert table.get_result(FIRST, 2) is None
     assert (len(table.results), table.results.size_bytes) == (0, 0)
 
 
-def test_an_entry_expires_at_its_own_time_and_not_at_that_of_the_one_before() -> None:
+def test_a_replaced_entry_does_not_make_the_new_one_expire_early() -> None:
     table = _table()
     table.put(FIRST, KeyEntry(1, 10.0, 12.0))
     table.put(FIRST, KeyEntry(2, 20.0, 22.0))
@@ -52,7 +52,7 @@
     assert not table.expirations
 
 
-def test_an_entry_in_use_stays_and_is_looked_at_again() -> None:
+def test_an_entry_in_use_is_extended_and_expires_later() -> None:
     table = _table()
     table.put(FIRST, KeyEntry(1, 10.0, 12.0))
     _expire(table, 12.0, in_use={1})
@@ -65,18 +65,18 @@
     assert len(table) == 0
 
 
-def test_the_oldest_results_make_room_and_their_keys_stay() -> None:
+def test_the_oldest_results_are_evicted_and_their_keys_stay() -> None:
     table = _table(capacity_bytes=10)
     table.put(FIRST, KeyEntry(1, 10.0, 12.0))
     table.put(SECOND, KeyEntry(2, 10.0, 12.0))
     table.store_result(FIRST, 1, b"123456")
     table.store_result(SECOND, 2, b"12345")
-    assert table.result_of(FIRST, 1) is None
-    assert table.result_of(SECOND, 2) == b"12345"
+    assert table.get_result(FIRST, 1) is None
+    assert table.get_result(SECOND, 2) == b"12345"
     assert FIRST in table
 
 
-def test_a_result_over_the_capacity_is_not_kept() -> None:
+def test_a_result_larger_than_the_capacity_is_not_stored() -> None:
     results = ResultStore(3)
     results.put(FIRST, b"four")
     assert results.get(FIRST) is None
@@ -84,7 +84,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["put", "remove"]), st.integers(0, 5), st.integers(0, 6))))
-def test_the_size_is_that_of_the_bodies_and_within_the_capacity(steps: list[tuple[str, int, int]]) -> None:
+def test_the_size_counts_all_bodies_and_stays_within_the_capacity(steps: list[tuple[str, int, int]]) -> None:
     results = ResultStore(10)
     for step, number, size in steps:
         key = RequestKey(0, 0, str(number), b"")
--- a/tests/server/test_load_reporter.py
+++ b/tests/server/test_load_reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the membership service: spread over the interval, at once when the status changes."""
+"""Reports to the membership service: servers that start together spread them over the interval."""
 
 from __future__ import annotations
 
@@ -13,23 +13,25 @@
 from tests.peers import NULL, play
 
 
-def test_servers_that_start_together_report_one_after_another() -> None:
+def test_servers_that_start_together_spread_their_reports() -> None:
     async def check() -> None:
         service = Service()
         address = Address("127.0.0.1", service.port)
-        actors = [LoadReporter(address, f"n{number}", Log("test", NULL)) for number in range(40)]
-        began = time.monotonic()
-        seen: dict[bytes, float] = {}
-        for actor in actors:
-            actor.start()
-        while len(seen) < 40:
+        reporters = [LoadReporter(address, f"n{number}", Log("test", NULL)) for number in range(40)]
+        started_at = time.monotonic()
+        first_report_times: dict[bytes, float] = {}
+        for reporter in reporters:
+            reporter.start()
+        while len(first_report_times) < 40:
             for report in service.reports():
-                seen.setdefault(report, time.monotonic() - began)
+                first_report_times.setdefault(report, time.monotonic() - started_at)
             await asyncio.sleep(0.001)
-        for actor in actors:
-            actor.end()
-        first = sorted(seen.values())
-        assert first[-1] <= load_reporter.REPORT_INTERVAL + 0.2
-        assert first[30] - first[9] >= 0.25 * load_reporter.REPORT_INTERVAL, "not in one moment"
+        for reporter in reporters:
+            reporter.end()
+        sorted_times = sorted(first_report_times.values())
+        assert sorted_times[-1] <= load_reporter.REPORT_INTERVAL + 0.2
+        assert (
+            sorted_times[30] - sorted_times[9] >= 0.25 * load_reporter.REPORT_INTERVAL
+        ), "the reports bunch together"
 
     play(check)
--- a/tests/server/test_log.py
+++ b/tests/server/test_log.py
@@ -1,4 +1,4 @@
-"""The log: its reader may stall or leave, floods are limited and counted, libraries write into it."""
+"""The log: stalled and closed readers, rate limit, messages of libraries, length limit of fields."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from shelfhaven.server.log import MAX_TEXT_LENGTH, LibraryLogHandler, Log
 
 
-def test_a_log_reader_that_stands_still_costs_lines_only() -> None:
+def test_a_stalled_or_closed_reader_loses_lines_and_blocks_nothing() -> None:
     reader, writer = os.pipe()
     log = Log("test", writer)
     for number in range(3000):
@@ -21,16 +21,16 @@
     assert lines[0]["event"] == "event0"
     assert len(lines) < 3000
     os.close(reader)
-    log.event("after the reader is gone")
+    log.event("after the reader is closed")
     os.close(writer)
 
 
-def test_a_flood_of_one_event_is_cut_and_counted() -> None:
+def test_events_above_the_rate_limit_are_suppressed_and_counted() -> None:
     reader, writer = os.pipe()
     log = Log("test", writer)
     for _ in range(500):
         log.event("same")
-    log.rates["same"].second -= 1  # the next second
+    log.line_counters["same"].second -= 1  # the next second
     log.event("same")
     lines = [orjson.loads(line) for line in os.read(reader, 1 << 20).splitlines()]
     assert len(lines) <= 3 * 20 + 1
@@ -39,7 +39,7 @@
     os.close(writer)
 
 
-def test_what_libraries_report_is_an_event_too() -> None:
+def test_warnings_of_libraries_are_logged_as_events() -> None:
     reader, writer = os.pipe()
     logger = logging.Logger("some.library")
     logger.addHandler(LibraryLogHandler(Log("test", writer)))
@@ -54,7 +54,7 @@
     os.close(writer)
 
 
-def test_an_exception_is_written_with_the_innermost_calls_and_long_texts_are_cut() -> None:
+def test_an_exception_is_logged_and_long_texts_keep_their_end() -> None:
     reader, writer = os.pipe()
     log = Log("test", writer)
     try:
--- a/tests/server/test_mailbox.py
+++ b/tests/server/test_mailbox.py
@@ -1,4 +1,4 @@
-"""Mailboxes: messages in order, one fault costs one message, nothing is handled after the end."""
+"""Mailboxes: order of messages, errors of handlers, messages after the end; and reading sockets first."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from tests.peers import NULL, play
 
 
-def test_what_comes_for_an_actor_that_is_over_is_nobodys() -> None:
+def test_messages_to_an_ended_actor_are_discarded() -> None:
     async def check() -> None:
-        got: list[int] = []
-        box = Mailbox(got.append, Log("test", NULL), lambda: got.append(-1))
-        box.put(1)
-        box.end()
-        box.put(2)
+        handled: list[int] = []
+        mailbox = Mailbox(handled.append, Log("test", NULL), lambda: handled.append(-1))
+        mailbox.put(1)
+        mailbox.end()
+        mailbox.put(2)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert (got, list(box.queue)) == ([], [])
+        assert (handled, list(mailbox.queue)) == ([], [])
 
     play(check)
 
 
-def test_messages_are_handled_in_order_in_the_next_turn_and_a_fault_costs_one_of_them() -> None:
+def test_messages_are_handled_in_order_in_the_next_iteration_and_an_error_affects_one_only() -> None:
     async def check() -> None:
         handled: list[int] = []
 
@@ -33,9 +33,9 @@
                 raise RuntimeError("injected")
             handled.append(message)
 
-        box = Mailbox(handle, Log("test", NULL), lambda: handled.append(-1))
+        mailbox = Mailbox(handle, Log("test", NULL), lambda: handled.append(-1))
         for message in (1, 2, 3):
-            box.put(message)
+            mailbox.put(message)
         assert handled == []
         await asyncio.sleep(0)
         assert handled == [1, 3, -1]
@@ -43,7 +43,7 @@
     play(check)
 
 
-def test_a_call_after_reading_comes_once_the_turns_are_over() -> None:
+def test_after_reading_calls_back_after_the_reading_iterations() -> None:
     async def check() -> None:
         called: list[str] = []
         after_reading(called.append, "late")
@@ -56,13 +56,13 @@
     play(check)
 
 
-def test_peek_leaves_the_byte_and_tells_the_end_from_silence() -> None:
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    assert peek(here) is None
-    there.send(b"xy")
-    assert peek(here) == b"x"
-    assert here.recv(9) == b"xy"
-    there.close()
-    assert peek(here) == b""
-    here.close()
+def test_peek_does_not_consume_and_distinguishes_the_end_from_no_data() -> None:
+    receiver, sender = socket.socketpair()
+    receiver.setblocking(False)
+    assert peek(receiver) is None
+    sender.send(b"xy")
+    assert peek(receiver) == b"x"
+    assert receiver.recv(9) == b"xy"
+    sender.close()
+    assert peek(receiver) == b""
+    receiver.close()
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the core: in order of their due times, with fresh gauges, and not for requests that are over."""
+"""Timers of the core: firing order, gauge samples, the alarm, and timers of requests that are over."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class TimerBench:
-    """Timers with a clock moved by hand."""
+    """Timers with a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -24,14 +24,14 @@
         actors = ConnectedActors()
         actors.connect([self.runner], Sink(), Sink(), Sink())
         self.fired: list[TimerFired] = []
-        self.settled = 0
-        self.timers = Timers(self.clocks, RequestTable(), actors, self.fired.append, self.settle)
+        self.process_emitted_calls = 0
+        self.timers = Timers(self.clocks, RequestTable(), actors, self.fired.append, self.process_emitted)
 
-    def settle(self) -> None:
-        self.settled += 1
+    def process_emitted(self) -> None:
+        self.process_emitted_calls += 1
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass and raise the alarm."""
+        """Advance the clock and trigger the alarm."""
         self.now += seconds
         self.timers.on_alarm()
 
@@ -46,7 +46,7 @@
     asyncio.run(run())
 
 
-def test_due_timers_fire_in_order_with_the_gauges_that_they_waited_for() -> None:
+def test_due_timers_fire_in_order_with_the_sampled_gauges() -> None:
     def check(bench: TimerBench) -> None:
         for token, delay in ((1, 0.2), (2, 0.1), (3, 0.1), (4, 9.0)):
             bench.timers.set(token, delay)
@@ -57,12 +57,14 @@
         assert bench.tokens() == [2, 3, 1]
         assert {event.gauges for event in bench.fired} == {(0.5,)}
         assert bench.timers.next_due() == 109.0
-        assert bench.settled == 0  # the message that brought the gauges settles
+        assert (
+            bench.process_emitted_calls == 0
+        )  # the core handles the events after the message with the gauges
 
     _run(check)
 
 
-def test_another_sample_does_not_fire_and_a_late_one_does_not_fire_twice() -> None:
+def test_only_the_awaited_sample_fires_timers_and_only_once() -> None:
     def check(bench: TimerBench) -> None:
         bench.timers.set(1, 0.1)
         bench.pass_time(0.2)
@@ -70,21 +72,21 @@
         bench.timers.on_gauges(messages.GaugesSampled("other", (0.1,)))
         assert bench.tokens() == []
         bench.timers.fire_unless_sampled(sample.tag)
-        assert (bench.tokens(), bench.settled) == ([1], 1)
+        assert (bench.tokens(), bench.process_emitted_calls) == ([1], 1)
         assert bench.fired[0].gauges == (0.1,)
         bench.timers.set(2, -1.0)
         bench.timers.on_gauges(messages.GaugesSampled(sample.tag, (0.2,)))
         bench.timers.fire_unless_sampled(sample.tag)
         bench.timers.fire_unless_sampled(None)
-        assert (bench.tokens(), bench.settled) == ([1], 1)
+        assert (bench.tokens(), bench.process_emitted_calls) == ([1], 1)
 
     _run(check)
 
 
-def test_a_sample_that_nobody_awaits_fires_nothing_whatever_its_tag() -> None:
+def test_a_sample_that_no_timer_awaits_fires_nothing() -> None:
     def check(bench: TimerBench) -> None:
         bench.timers.set(1, 0.1)
-        bench.now += 0.2  # due, and its alarm has not come yet
+        bench.now += 0.2  # the timer is due, but its alarm has not gone off yet
         for tag in ("", "t1", "other"):
             bench.timers.on_gauges(messages.GaugesSampled(tag, (0.1,)))
         assert bench.tokens() == []
@@ -92,7 +94,7 @@
     _run(check)
 
 
-def test_without_a_runner_timers_fire_once_the_sockets_are_read() -> None:
+def test_without_a_runner_timers_fire_after_the_sockets_are_read() -> None:
     async def check() -> None:
         bench = TimerBench()
         bench.runner.up = False
@@ -101,13 +103,13 @@
         assert bench.tokens() == []
         for _ in range(10):
             await asyncio.sleep(0)
-        assert (bench.tokens(), bench.settled) == ([1], 1)
+        assert (bench.tokens(), bench.process_emitted_calls) == ([1], 1)
         assert bench.runner.of(messages.SampleGauges) == []
 
     asyncio.run(check())
 
 
-def test_timers_of_requests_that_are_over_are_dropped_unseen() -> None:
+def test_timers_of_requests_that_are_over_are_discarded() -> None:
     def check(bench: TimerBench) -> None:
         bench.timers.set(1, 0.1, request_id=5)
         bench.timers.set(2, 0.2)
@@ -118,7 +120,7 @@
     _run(check)
 
 
-def test_the_alarm_moves_to_an_earlier_timer_only() -> None:
+def test_the_alarm_moves_only_to_an_earlier_timer() -> None:
     def check(bench: TimerBench) -> None:
         bench.timers.set(1, 5.0)
         bench.timers.update_alarm()
@@ -135,7 +137,7 @@
     _run(check)
 
 
-def test_time_does_not_go_back_with_the_clock() -> None:
+def test_time_never_decreases_even_if_the_clock_does() -> None:
     bench = TimerBench()
     assert bench.clocks.advance() == 100.0
     bench.now = 90.0
