--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""A server among stand-ins of its peers."""
+"""Runs a server together with stubs of the services that it connects to."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Site:
-    """A server among its peers."""
+    """A server in this process, with stubs of its agent, ledger and membership service."""
 
     def __init__(self) -> None:
         self.agent, self.ledger, self.members = Agent(), Ledger(), Members()
@@ -42,38 +42,38 @@
             self.agent.stop()
         await self.ledger.start()
         data = copy.deepcopy(CONFIG)
-        settings = changes.pop("domain", {})
-        data["settings"]["domain"].update(settings)
+        domain_changes = changes.pop("domain", {})
+        data["settings"]["domain"].update(domain_changes)
         data["settings"]["classes"][0].update({"deadline": 6.0, "on-time": 4.0})
         data.update(changes)
-        for key, used in (
+        for key, port in (
             ("listen", reserved_port()),
             ("agent", self.agent.port),
             ("members", self.members.port),
         ):
-            data[key] = f"127.0.0.1:{used}"
+            data[key] = f"127.0.0.1:{port}"
         data["ledger"] = f"127.0.0.1:{self.ledger.port}"
         self.data = data
         self.path = Path(self.folder.name) / "config.json"
-        self.rewrite()
+        self.rewrite_config()
         self.app = App(Files(config.load(self.path)), Log("test", NULL), self.path)
         self.running = asyncio.get_running_loop().create_task(self.app.run())
         await until(lambda: self.app.listener.socket)
         if agent_up:
             await until(lambda: self.app.peers.agent.up)
 
-    def rewrite(self, **changes: Any) -> None:
-        """Replace the configuration file."""
+    def rewrite_config(self, **changes: Any) -> None:
+        """Change keys of the configuration file."""
         self.data |= changes
         self.path.write_bytes(orjson.dumps(self.data))
 
     async def running_request(self) -> tuple[Router, str]:
-        """A router whose request 1 runs until the test ends it; the name of the try."""
+        """Return a router whose request 1 runs until the test ends it, and the id of that attempt."""
         self.agent.on_launch = self.agent.keep_running
         router = await self.router()
-        call = router.request(1)
+        attempt_id = router.request(1)
         await until(lambda: self.agent.launched)
-        return router, call
+        return router, attempt_id
 
     async def router(self) -> Router:
         address = self.app.config.listen
@@ -83,7 +83,7 @@
 
 @contextlib.asynccontextmanager
 async def site(**changes: Any) -> AsyncIterator[Site]:
-    """A running server; ended with the context if it still runs."""
+    """Start a server, and cancel it at the end of the context if it still runs."""
     running = Site()
     await running.start(**changes)
     try:
@@ -96,10 +96,10 @@
 
 
 def play(test: Callable[[], Awaitable[None]]) -> None:
-    """Run one test in a loop of its own, bounded in time."""
+    """Run an asynchronous test in an event loop of its own, with a timeout."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * SOON):
             await test()
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration file, announced by SIGHUP: peers move, nothing is lost, run twice or called twice."""
+"""Reload of the configuration at SIGHUP: peers change address, and no run or call is lost or repeated."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from tests.peers import play, site
 
 
-async def another_agent(of: peers.Agent) -> peers.Agent:
-    """The same agent at another address: notices carry on."""
+async def agent_at_new_address(original: peers.Agent) -> peers.Agent:
+    """Start a stub of the same agent at another address, with the notices that it has sent so far."""
     new = peers.Agent()
-    new.notices, new.started_at = of.notices, of.started_at
-    started = [id_ for id_, *_ in of.launched]
-    new.on_launch = lambda id_: None if id_ in started else new.passed(id_)
+    new.notices, new.started_at = original.notices, original.started_at
+    already_launched = [id_ for id_, *_ in original.launched]
+    new.on_launch = lambda id_: None if id_ in already_launched else new.passed(id_)
     await new.start()
     return new
 
 
-def test_runs_and_notice_numbers_go_on_at_the_new_address_of_the_agent() -> None:
+def test_runs_and_notice_numbers_continue_at_the_new_address_of_the_agent() -> None:
     async def check() -> None:
         async with site() as server:
             first = await server.router()
             first.request(1)
             await first.answer(1)
-            router, call = await server.running_request()
-            new = await another_agent(server.agent)
-            server.rewrite(agent=f"127.0.0.1:{new.port}")
+            router, attempt_id = await server.running_request()
+            new = await agent_at_new_address(server.agent)
+            server.rewrite_config(agent=f"127.0.0.1:{new.port}")
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: new.subscribed)
             assert new.subscribed == [1]
             await until(lambda: server.app.peers.agent.up and server.app.peers.agent.resumptions == 2)
-            new.passed(call)
+            new.passed(attempt_id)
             assert "result" in await router.answer(1)
             router.request(2)
             assert "result" in await router.answer(2)
@@ -46,12 +46,12 @@
     play(check)
 
 
-def test_a_command_given_while_the_agent_moves_is_carried_out_there() -> None:
+def test_a_command_issued_while_the_address_of_the_agent_changes_is_executed_once() -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
-            new = await another_agent(server.agent)
-            server.rewrite(agent=f"127.0.0.1:{new.port}")
+            new = await agent_at_new_address(server.agent)
+            server.rewrite_config(agent=f"127.0.0.1:{new.port}")
             server.app.reload()
             router.request(1)
             assert "result" in await router.answer(1)
@@ -61,23 +61,23 @@
     play(check)
 
 
-def test_a_call_that_was_sent_ends_at_the_old_ledger_and_the_next_goes_to_the_new_one() -> None:
+def test_a_call_in_progress_completes_at_the_old_ledger_and_the_next_goes_to_the_new_one() -> None:
     async def check() -> None:
         async with site() as server:
             server.ledger.reply = None
-            router, call = await server.running_request()
-            server.agent.notice(f"request # {call}", b"call body")
+            router, attempt_id = await server.running_request()
+            server.agent.notice(f"request # {attempt_id}", b"call body")
             await until(lambda: server.ledger.calls)
             new = peers.Ledger()
             await new.start()
-            server.rewrite(ledger=f"127.0.0.1:{new.port}")
+            server.rewrite_config(ledger=f"127.0.0.1:{new.port}")
             server.app.reload()
             for connection in server.app.peers.ledger.connections:
                 assert connection.call
             server.ledger.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold")
             await until(lambda: server.agent.delivered)
-            assert server.agent.delivered == [(call, b"old")]
-            await until(lambda: server.ledger.closed)  # not kept for another call
+            assert server.agent.delivered == [(attempt_id, b"old")]
+            await until(lambda: server.ledger.closed)  # the connection is not reused for another call
             router.request(2)
             await until(lambda: len(server.agent.launched) == 2)
             server.agent.notice(f"request # {2:016x}", b"second")
@@ -88,18 +88,18 @@
     play(check)
 
 
-def test_a_call_that_was_not_sent_yet_goes_to_the_new_ledger() -> None:
+def test_a_call_not_yet_sent_goes_to_the_new_ledger() -> None:
     async def check() -> None:
         async with site() as server:
-            _, call = await server.running_request()
+            _, attempt_id = await server.running_request()
             new = peers.Ledger()
             await new.start()
             sent = server.app.peers.ledger._send
             server.app.peers.ledger._send = lambda *_: None  # type: ignore
-            server.agent.notice(f"request # {call}", b"call body")
+            server.agent.notice(f"request # {attempt_id}", b"call body")
             await until(lambda: server.app.peers.ledger.by_request)
             server.app.peers.ledger._send = sent  # type: ignore
-            server.rewrite(ledger=f"127.0.0.1:{new.port}")
+            server.rewrite_config(ledger=f"127.0.0.1:{new.port}")
             server.app.reload()
             await until(lambda: server.agent.delivered)
             assert len(new.calls) == 1
@@ -117,7 +117,7 @@
         (b'{"name":"n3"}', "settings"),
     ],
 )
-def test_a_faulty_file_leaves_all_as_it_was_and_the_log_names_the_key(
+def test_an_invalid_file_changes_nothing_and_the_log_names_the_key(
     text: bytes | None, key: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def check() -> None:
@@ -140,22 +140,22 @@
     play(check)
 
 
-def test_several_new_files_in_a_row_and_one_while_draining() -> None:
+def test_several_reloads_in_a_row_and_one_while_draining() -> None:
     async def check() -> None:
         async with site(stop_ms=1500) as server:
-            router, call = await server.running_request()
-            agents = [await another_agent(server.agent) for _ in range(3)]
+            router, attempt_id = await server.running_request()
+            agents = [await agent_at_new_address(server.agent) for _ in range(3)]
             for new in agents[:2]:
-                server.rewrite(agent=f"127.0.0.1:{new.port}")
+                server.rewrite_config(agent=f"127.0.0.1:{new.port}")
                 server.app.reload()
             await until(lambda: agents[1].subscribed)
             server.app.request_drain()
             await until(lambda: server.app.phase is Phase.DRAINING)
-            server.rewrite(agent=f"127.0.0.1:{agents[2].port}")
+            server.rewrite_config(agent=f"127.0.0.1:{agents[2].port}")
             server.app.reload()
             await until(lambda: agents[2].subscribed)
             await until(lambda: server.app.peers.agent.up and not server.app.peers.agent.replay_tag)
-            agents[2].passed(call)
+            agents[2].passed(attempt_id)
             assert "result" in await router.answer(1)
             assert len(router.of(1)) == 1
             await until(server.running.done)
@@ -165,21 +165,21 @@
     play(check)
 
 
-def test_the_agent_moving_ends_the_pause_before_the_next_link() -> None:
+def test_a_new_address_of_the_agent_ends_the_wait_before_reconnecting() -> None:
     async def check() -> None:
         async with site(agent_up=False) as server:
             waits: list[float] = []
             back_off = server.app.peers.agent._back_off
 
-            async def back_off_for_long(seconds: float) -> None:
+            async def back_off_long(seconds: float) -> None:
                 waits.append(seconds)
                 await back_off(1000.0)
 
-            server.app.peers.agent._back_off = back_off_for_long  # type: ignore[method-assign]
+            server.app.peers.agent._back_off = back_off_long  # type: ignore[method-assign]
             await until(lambda: waits)
             new = peers.Agent()
             await new.start()
-            server.rewrite(agent=f"127.0.0.1:{new.port}")
+            server.rewrite_config(agent=f"127.0.0.1:{new.port}")
             server.app.reload()
             await until(lambda: server.app.peers.agent.up)
             new.stop()
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -1,4 +1,4 @@
-"""The whole server on loopback sockets among stand-ins."""
+"""The complete server on loopback sockets, with stubs of the other systems."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 from shelfhaven.server.log import Log
 from tests.peers import NULL, Site, play, site
 
-MADE = base64.b64encode(b"made for " + f"{1:016x}".encode()).decode()
+RESULT_BODY = base64.b64encode(b"made for " + f"{1:016x}".encode()).decode()
 
 
-def test_a_request_is_run_by_the_agent_and_its_result_comes_back() -> None:
+def test_the_agent_runs_a_request_and_the_router_gets_the_result() -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
-            call = router.request(1)
+            attempt_id = router.request(1)
             answer = await router.answer(1)
-            assert answer["result"]["body"] == MADE
-            assert server.agent.launched == [(call, "look", b"ask")]
+            assert answer["result"]["body"] == RESULT_BODY
+            assert server.agent.launched == [(attempt_id, "look", b"ask")]
 
     play(check)
 
 
-def test_bytes_that_come_one_by_one_are_one_request() -> None:
+def test_a_request_that_arrives_byte_by_byte_is_read() -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
-            kept: list[bytes] = []
-            real, router.writer.write = router.writer.write, kept.append  # type: ignore
+            chunks: list[bytes] = []
+            write, router.writer.write = router.writer.write, chunks.append  # type: ignore
             router.request(1)
-            for byte in b"".join(kept):
-                real(bytes([byte]))
+            for byte in b"".join(chunks):
+                write(bytes([byte]))
                 await router.writer.drain()
-            assert (await router.answer(1))["result"]["body"] == MADE
+            assert (await router.answer(1))["result"]["body"] == RESULT_BODY
 
     play(check)
 
 
-def test_health_is_answered_before_the_agent_is_up_and_a_request_once_it_is() -> None:
+def test_health_checks_are_answered_before_the_agent_is_up_and_requests_once_it_is() -> None:
     async def check() -> None:
         async with site(agent_up=False) as server:
             router = await server.router()
@@ -60,12 +60,12 @@
             assert (await router.answer(5))["result"]["green"] is True
             router.request(1)
             await server.agent.start()
-            assert (await router.answer(1))["result"]["body"] == MADE
+            assert (await router.answer(1))["result"]["body"] == RESULT_BODY
 
     play(check)
 
 
-def test_reports_say_out_while_draining() -> None:
+def test_the_membership_service_is_told_of_a_drain() -> None:
     async def check() -> None:
         async with site(stop_ms=600) as server:
             await until(lambda: b"HB n3 UP" in server.members.reports())
@@ -76,42 +76,42 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"{",
         b"[]",
         b'[{"jsonrpc":"2.0","id":3,"method":"alive"}]',
         b'{"jsonrpc":"2.0","id":"x","method":"look"}',
         b'{"jsonrpc":"2.0","method":"look"}',
-        b'{"jsonrpc":"2.0","id":1,"method":"alive"}',  # an id that is open
+        b'{"jsonrpc":"2.0","id":1,"method":"alive"}',  # id of an open request
     ],
 )
-def test_what_cannot_be_read_costs_its_connection_after_what_it_is_owed(bad: bytes) -> None:
+def test_an_invalid_message_closes_its_connection_after_the_outstanding_answers(invalid: bytes) -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             other = await server.router()
-            router.send(bad)
+            router.send(invalid)
             other.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             assert (await other.answer(2))["result"]["green"] is True
             assert not router.ended
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             await until(lambda: router.ended)
-            assert [message["id"] for message in router.got] == [None, 1]  # told at once
+            assert [message["id"] for message in router.got] == [None, 1]  # the error is sent at once
             assert router.got[0]["error"]["code"] == jsonrpc.PARSE_ERROR
             assert not other.ended
 
     play(check)
 
 
-def test_wrong_requests_get_the_usual_codes_and_the_connection_stays() -> None:
+def test_invalid_requests_get_json_rpc_error_codes_and_the_connection_stays_open() -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
             router.request(1, "unheard-of")
             router.request(2, heap=-1)
             router.request(3, org="nobody")
-            router.request(4, "pay")  # keyed, without its key
+            router.request(4, "pay")  # its class requires an idempotency key
             router.send({"id": 5, "method": "look"})
             router.request(6)
             codes = [(await router.answer(number))["error"]["code"] for number in range(1, 6)]
@@ -127,7 +127,7 @@
     play(check)
 
 
-def test_more_than_32_open_requests_are_turned_down_one_by_one() -> None:
+def test_requests_beyond_32_open_ones_are_rejected() -> None:
     async def check() -> None:
         async with site(domain={"cores": 40, "memory-kb": 1e6}) as server:
             server.agent.on_launch = server.agent.keep_running
@@ -143,12 +143,12 @@
     play(check)
 
 
-def test_a_lost_connection_lets_go_of_its_requests() -> None:
+def test_requests_of_a_closed_connection_are_released() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             await router.close()
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             await until(lambda: not server.app.core.requests)
             again = await server.router()
             server.agent.on_launch = server.agent.passed
@@ -158,24 +158,24 @@
     play(check)
 
 
-def test_a_cancelled_request_is_told_so_once_whatever_its_run_brings() -> None:
+def test_a_cancelled_request_is_answered_once_even_if_its_run_completes() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 1}})
             router.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             await router.answer(2)
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             await until(lambda: not server.app.core.requests)
             assert [answer["error"]["code"] for answer in router.of(1)] == [jsonrpc.CANCELLED]
 
     play(check)
 
 
-# The agent's link
+# The connection to the agent
 
 
-def test_a_broken_link_is_opened_again_and_nothing_is_run_or_read_twice() -> None:
+def test_after_a_reconnect_to_the_agent_nothing_is_run_or_read_twice() -> None:
     async def check() -> None:
         async with site() as server:
             server.agent.on_launch = server.agent.keep_running
@@ -183,13 +183,13 @@
             first, second = router.request(1), router.request(2)
             await until(lambda: len(server.agent.launched) == 2)
             server.agent.cut()
-            server.agent.notice(f"outcome # {first} PASS 5", b"made meanwhile")  # while there is no link
+            server.agent.notice(f"outcome # {first} PASS 5", b"made meanwhile")  # while disconnected
             await until(lambda: len(server.agent.subscribed) == 2)
             answer = await router.answer(1)
             assert answer["result"]["body"] == base64.b64encode(b"made meanwhile").decode()
             await until(lambda: len(server.agent.launched) == 3)
-            # of unknown fate is only what nothing was heard of; launching that again does nothing
-            assert [call for call, _, _ in server.agent.launched] == [first, second, second]
+            # only a run without a notice is uncertain; it is launched again, which the agent ignores
+            assert [attempt_id for attempt_id, _, _ in server.agent.launched] == [first, second, second]
             server.agent.passed(second)
             assert "result" in await router.answer(2)
             server.agent.cut()
@@ -201,7 +201,7 @@
     play(check)
 
 
-def test_commands_of_a_time_without_link_go_out_once_it_is_back() -> None:
+def test_commands_issued_while_disconnected_are_sent_after_the_reconnect() -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
@@ -210,41 +210,41 @@
             router.request(1)
             await until(lambda: server.app.core.requests)
             await server.agent.start()
-            assert (await router.answer(1))["result"]["body"] == MADE
+            assert (await router.answer(1))["result"]["body"] == RESULT_BODY
             assert len(server.agent.launched) == 1
 
     play(check)
 
 
-def test_a_launch_that_is_refused_is_answered_on_whatever_link_it_went_out() -> None:
+def test_a_refused_launch_is_answered_whichever_connection_it_was_sent_on() -> None:
     async def check() -> None:
         async with site() as server:
             router, first = await server.running_request()
             server.agent.stop()
             await until(lambda: not server.app.peers.agent.up)
-            second = router.request(2)  # launched once there is a link
+            second = router.request(2)  # launched once the connection is back
             await until(lambda: second in server.app.peers.agent.pending)
             server.agent.on_launch = lambda id_: server.agent.send(f"refusal launch {id_}\r\n".encode())
             await server.agent.start()
             assert "error" in await router.answer(2)
             assert "error" in await router.answer(1)
-            assert [call for call, _, _ in server.agent.launched] == [first, first, second]
+            assert [attempt_id for attempt_id, _, _ in server.agent.launched] == [first, first, second]
             assert not server.app.peers.agent.pending
             assert not server.app.core.requests
 
     play(check)
 
 
-def test_a_reply_that_is_refused_when_sent_again_was_taken_the_first_time() -> None:
+def test_a_reply_that_is_refused_when_resent_was_accepted_the_first_time() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
-            server.agent.passed, passed = lambda _: None, server.agent.passed  # type: ignore
-            server.agent.notice(f"request # {call}", b"ask")
+            router, attempt_id = await server.running_request()
+            server.agent.passed, pass_run = lambda _: None, server.agent.passed  # type: ignore
+            server.agent.notice(f"request # {attempt_id}", b"ask")
             await until(lambda: server.agent.delivered)
             command = server.agent.handle_command
             server.agent.handle_command = lambda words, body: (  # type: ignore
-                server.agent.send(f"refusal deliver {call}\r\n".encode())
+                server.agent.send(f"refusal deliver {attempt_id}\r\n".encode())
                 if words[0] == "deliver"
                 else command(words, body)
             )
@@ -253,74 +253,76 @@
                 lambda: server.app.peers.agent.resumptions == 2 and not server.app.peers.agent.pending
             )
             assert not router.got
-            passed(call)
+            pass_run(attempt_id)
             assert "result" in await router.answer(1)
 
     play(check)
 
 
-def test_a_greeting_that_is_read_late_is_no_new_agent(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_greeting_that_is_read_late_is_not_taken_for_a_restarted_agent(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
-            server.agent.started_at = time.monotonic() - 0.001  # it was met when it had just started
+            router, attempt_id = await server.running_request()
+            server.agent.started_at = time.monotonic() - 0.001  # the first greeting came just after its start
             server.app.peers.agent.first_greeted_at = time.monotonic()
             greeted = server.app.peers.agent._greeted
 
-            def late(greeting: wire.AgentGreeted) -> None:
-                time.sleep(RESTART_MARGIN + 0.2)  # the machine stood still before it was read
+            def greet_late(greeting: wire.AgentGreeted) -> None:
+                time.sleep(RESTART_MARGIN + 0.2)  # the machine stalls before the greeting is read
                 greeted(greeting)
 
-            monkeypatch.setattr(server.app.peers.agent, "_greeted", late)
+            monkeypatch.setattr(server.app.peers.agent, "_greeted", greet_late)
             server.agent.cut()
             await until(lambda: server.app.peers.agent.resumptions == 2)
             assert not router.got
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
 
     play(check)
 
 
-def test_a_run_that_a_malformed_line_ended_is_not_launched_again() -> None:
+def test_a_run_that_failed_by_a_malformed_notice_is_not_launched_again() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
-            server.agent.send(f"outcome 1 {call} PASS\r\n".encode())
+            router, attempt_id = await server.running_request()
+            server.agent.send(f"outcome 1 {attempt_id} PASS\r\n".encode())
             assert "error" in await router.answer(1)
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 2 and server.app.peers.agent.up)
             router.request(2)
             await until(lambda: len(server.agent.launched) == 2)
-            assert [id_ for id_, _, _ in server.agent.launched] == [call, f"{2:016x}"]
+            assert [id_ for id_, _, _ in server.agent.launched] == [attempt_id, f"{2:016x}"]
 
     play(check)
 
 
-def test_replayed_notices_are_passed_over() -> None:
+def test_replayed_notices_are_ignored() -> None:
     async def check() -> None:
         async with site() as server:
-            wants_call(server)
+            request_call_on_launch(server)
             router = await server.router()
-            done = server.agent.passed
+            pass_run = server.agent.passed
             server.agent.passed = server.agent.keep_running  # type: ignore
-            call = router.request(1)
+            attempt_id = router.request(1)
             await until(lambda: server.agent.delivered)
-            server.agent.send(b"".join(server.agent.notices))  # it waits for that call no more
+            server.agent.send(b"".join(server.agent.notices))  # the run no longer waits for that call
             router.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             await router.answer(2)
-            done(call)
+            pass_run(attempt_id)
             assert "result" in await router.answer(1)
             assert len(server.ledger.calls) == 1
 
     play(check)
 
 
-def test_malformed_lines_and_an_untrusted_length_do_not_end_the_server() -> None:
+def test_malformed_lines_and_an_invalid_length_do_not_stop_the_server() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             server.agent.send(b"what is this\r\n")
-            server.agent.send(f"outcome 1 {call} PASS\r\n".encode())
+            server.agent.send(f"outcome 1 {attempt_id} PASS\r\n".encode())
             assert "error" in await router.answer(1)
             server.agent.send(b"outcome 2 x PASS 1 -5\r\n")
             await until(lambda: len(server.agent.subscribed) == 2)
@@ -331,17 +333,16 @@
     play(check)
 
 
-def test_an_agent_that_started_anew_has_lost_its_runs() -> None:
+def test_runs_of_a_restarted_agent_have_failed() -> None:
     async def check() -> None:
         async with site() as server:
             router, _ = await server.running_request()
-            # it greets as one that started a minute after it first greeted
+            # to the server, the agent has started a minute after its first greeting
             server.app.peers.agent.first_greeted_at -= 60
             server.agent.cut()
             assert (await router.answer(1))["error"]["code"] == jsonrpc.FAILED
-            server.app.peers.agent.last_notice = (
-                40  # notices read from the one before; this one counts from 1
-            )
+            # notices read from the previous incarnation; the new one counts from 1
+            server.app.peers.agent.last_notice = 40
             server.app.peers.agent.first_greeted_at -= 60
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 3 and server.app.peers.agent.up)
@@ -355,34 +356,34 @@
 # The ledger
 
 
-def wants_call(server: Site) -> None:
-    """The agent asks for a call on each launch."""
+def request_call_on_launch(server: Site) -> None:
+    """Have the agent request a downstream call for each launch."""
     agent = server.agent
     agent.on_launch = lambda id_: agent.notice(f"request # {id_}", b"call of " + id_.encode())
 
 
-@pytest.mark.parametrize(("rest", "connections"), [(0.0, 1), (60.0, 2)])
-def test_a_call_goes_to_the_ledger_on_a_connection_that_has_rested_or_a_new_one(
-    rest: float, connections: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("min_idle_time", "connection_count"), [(0.0, 1), (60.0, 2)])
+def test_a_call_reuses_a_connection_only_after_its_minimum_idle_time(
+    min_idle_time: float, connection_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(ledger, "MIN_IDLE_TIME", rest)
+    monkeypatch.setattr(ledger, "MIN_IDLE_TIME", min_idle_time)
 
     async def check() -> None:
         async with site() as server:
-            wants_call(server)
+            request_call_on_launch(server)
             router = await server.router()
             for number in (1, 2):
-                call = router.request(number)
+                attempt_id = router.request(number)
                 assert "result" in await router.answer(number)
-                assert server.ledger.calls[-1] == (call, b"call of " + call.encode())
-                assert server.agent.delivered[-1] == (call, b"done")
-            assert server.ledger.connections == connections
+                assert server.ledger.calls[-1] == (attempt_id, b"call of " + attempt_id.encode())
+                assert server.agent.delivered[-1] == (attempt_id, b"done")
+            assert server.ledger.connections == connection_count
 
     play(check)
 
 
 @pytest.mark.parametrize(
-    ("reply", "cut"),
+    ("reply", "cut_after"),
     [
         (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", None),
         (b"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", None),
@@ -392,11 +393,11 @@
         (b"HTTP/1.1 200 OK\r\n\r\n", None),
     ],
 )
-def test_a_call_that_may_have_run_is_not_placed_again(reply: bytes, cut: int | None) -> None:
+def test_a_call_that_may_have_run_is_not_retried(reply: bytes, cut_after: int | None) -> None:
     async def check() -> None:
         async with site(domain={"class-skip-worth": [0, 0]}) as server:
-            wants_call(server)
-            server.ledger.reply, server.ledger.cut_after = reply, cut
+            request_call_on_launch(server)
+            server.ledger.reply, server.ledger.cut_after = reply, cut_after
             router = await server.router()
             router.request(1, "pay", dedupe="k")
             assert (await router.answer(1))["error"]["code"] == jsonrpc.FAILED
@@ -406,81 +407,83 @@
 
 
 @pytest.mark.parametrize("status", [b"503", b"409"])
-def test_a_call_that_never_ran_is_placed_again(status: bytes) -> None:
+def test_a_call_that_never_ran_is_retried(status: bytes) -> None:
     async def check() -> None:
         async with site(domain={"class-skip-worth": [0, 0]}) as server:
-            wants_call(server)
-            good = server.ledger.reply
+            request_call_on_launch(server)
+            success = server.ledger.reply
             server.ledger.reply = b"HTTP/1.1 %b No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n" % status
             router = await server.router()
             router.request(1)
             await until(lambda: server.ledger.calls)
-            server.ledger.reply = good
+            server.ledger.reply = success
             assert "result" in await router.answer(1)
             assert len(server.ledger.calls) == 2
 
     play(check)
 
 
-def test_a_call_is_given_up_with_its_run_by_closing_its_connection() -> None:
+def test_the_call_of_a_killed_run_is_abandoned_by_closing_its_connection() -> None:
     async def check() -> None:
         async with site() as server:
-            wants_call(server)
+            request_call_on_launch(server)
             server.ledger.reply = None
             router = await server.router()
-            call = router.request(1)
+            attempt_id = router.request(1)
             await until(lambda: server.ledger.calls)
-            server.agent.notice(f"outcome # {call} KILLED 5", b"")
+            server.agent.notice(f"outcome # {attempt_id} KILLED 5", b"")
             assert "error" in await router.answer(1)
             await until(lambda: server.ledger.closed == 1)
 
     play(check)
 
 
-def test_calls_beyond_the_connections_wait_for_one() -> None:
+def test_calls_wait_when_all_outbound_connections_are_in_use() -> None:
     async def check() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 28}
         async with site(limits=limits, domain={"cores": 6, "memory-kb": 1e6}) as server:
-            # routers take what calls might have used
-            held = [await server.router() for _ in range(3)]
+            # routers hold the descriptors that calls could borrow
+            idle_routers = [await server.router() for _ in range(3)]
             server.app.peers.ledger.descriptors.capacity = 5
             server.app.peers.ledger.descriptors.reserved_outbound = 2
-            wants_call(server)
-            most: list[int] = []
-            server.ledger.after_reply = lambda: most.append(len(server.app.peers.ledger.connections))
+            request_call_on_launch(server)
+            connection_counts: list[int] = []
+            server.ledger.after_reply = lambda: connection_counts.append(
+                len(server.app.peers.ledger.connections)
+            )
             router = await server.router()
             for number in range(1, 7):
                 router.request(number)
             for number in range(1, 7):
                 assert "result" in await router.answer(number)
-            assert max(most) <= 2
-            assert not any(one.ended for one in held), "the routers had their descriptors all the while"
+            assert max(connection_counts) <= 2
+            assert not any(other.ended for other in idle_routers), "a connection of a router was closed"
 
     play(check)
 
 
-# Leaving
+# Drain and shutdown
 
 
-def test_phases_follow_each_other_to_the_end() -> None:
-    phase, seen = Phase.STARTING, []
+def test_phases_follow_in_order_until_the_last() -> None:
+    phase, earlier_phases = Phase.STARTING, []
     while NEXT[phase]:
-        seen.append(phase)
+        earlier_phases.append(phase)
         phase = next(following for following in Phase if following in NEXT[phase])
-    assert [*seen, phase] == list(Phase)
+    assert [*earlier_phases, phase] == list(Phase)
 
 
-def test_leaving_answers_all_says_so_on_each_connection_and_ends() -> None:
+def test_a_drain_answers_all_requests_announces_the_shutdown_and_ends() -> None:
     async def check() -> None:
         async with site(stop_ms=1500) as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             os.kill(os.getpid(), signal.SIGTERM)
             await until(router.received_shutdown)
-            router.request(2)  # crosses the notice
-            late = await server.router()  # from a router that has not heard yet
+            router.request(2)  # sent before the announcement of the shutdown is read
+            late = await server.router()  # a router that does not know of the shutdown yet
             late.request(3, call="c" * 16)
             await until(late.received_shutdown)
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
             server.agent.passed(f"{2:016x}")
             assert "result" in await router.answer(2)
@@ -488,7 +491,11 @@
             await until(server.running.done)
             assert server.app.phase is Phase.ENDED
             assert server.running.exception() is None
-            assert [len(r.of(number)) for r, number in ((router, 1), (router, 2), (late, 3))] == [1, 1, 1]
+            assert [len(each.of(number)) for each, number in ((router, 1), (router, 2), (late, 3))] == [
+                1,
+                1,
+                1,
+            ]
             with pytest.raises(ConnectionRefusedError):
                 await server.router()
 
@@ -508,7 +515,7 @@
     play(check)
 
 
-def test_idle_connections_are_closed_by_notice_and_health_checks_are_spared() -> None:
+def test_the_shutdown_is_announced_to_idle_connections_but_not_to_health_checks() -> None:
     async def check() -> None:
         async with site() as server:
             server.agent.on_launch = server.agent.keep_running
@@ -528,12 +535,12 @@
     play(check)
 
 
-def test_connections_beyond_the_descriptors_wait_in_the_backlog() -> None:
+def test_connections_beyond_the_descriptor_limit_wait_in_the_backlog() -> None:
     async def check() -> None:
         async with site(limits={"cores": 1.0, "memory_mb": 192, "sockets": 20}) as server:
-            most = server.app.listener.descriptors.max_inbound
-            routers = [await server.router() for _ in range(most + 1)]
-            await until(lambda: len(server.app.listener.connections) == most)
+            max_inbound = server.app.listener.descriptors.max_inbound
+            routers = [await server.router() for _ in range(max_inbound + 1)]
+            await until(lambda: len(server.app.listener.connections) == max_inbound)
             routers[-1].request(1)
             await routers[0].close()
             assert "result" in await routers[-1].answer(1)
@@ -541,23 +548,23 @@
     play(check)
 
 
-def test_an_agent_that_greets_as_before_has_lost_nothing() -> None:
+def test_runs_continue_after_a_reconnect_to_the_same_agent() -> None:
     async def check() -> None:
         async with site() as server:
             server.agent.on_launch = server.agent.keep_running
             server.agent.started_at -= 3600
             router = await server.router()
-            call = router.request(1)
+            attempt_id = router.request(1)
             await until(lambda: server.agent.launched)
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 2)
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
 
     play(check)
 
 
-def test_an_address_still_in_use_is_waited_for() -> None:
+def test_start_waits_while_the_address_is_in_use() -> None:
     async def check() -> None:
         async with site() as server:
             listen = server.app.config.listen
@@ -575,7 +582,7 @@
     play(check)
 
 
-def test_a_link_that_breaks_at_the_same_place_again_is_opened_ever_more_slowly() -> None:
+def test_the_backoff_grows_while_connections_break_during_the_replay() -> None:
     async def check() -> None:
         async with site() as server:
             broken = b"outcome 1 x PASS 1 -5\r\n"
@@ -583,12 +590,12 @@
             server.agent.send(broken)
             pauses: list[float] = []
 
-            async def counted(seconds: float) -> None:
+            async def record_pause(seconds: float) -> None:
                 pauses.append(seconds)
                 await asyncio.sleep(0.001)
 
             with pytest.MonkeyPatch.context() as patch:
-                patch.setattr(server.app.peers.agent, "_back_off", counted)
+                patch.setattr(server.app.peers.agent, "_back_off", record_pause)
                 await until(lambda: len(pauses) >= 8)
             assert pauses[1:8] == sorted(pauses[1:8])
             assert pauses[7] == MAX_BACKOFF
@@ -596,46 +603,48 @@
     play(check)
 
 
-@pytest.mark.parametrize("ending", ["closed by the router", "cut", "cannot be read"])
-def test_a_connection_that_is_over_is_forgotten_without_a_collection(ending: str) -> None:
-    """A steady server hardly ever collects all generations: what only those free would pile up."""
+@pytest.mark.parametrize("ending", ["closed by the router", "aborted", "invalid data"])
+def test_a_closed_connection_is_freed_without_garbage_collection(ending: str) -> None:
+    """Guards against reference cycles: a server under steady load hardly ever runs a full collection.
+
+    Connections that only such a collection frees would pile up.
+    """
 
     async def check() -> None:
         async with site() as server:
             router = await server.router()
             router.request(1)
             await router.answer(1)
-            gone = weakref.ref(next(iter(server.app.listener.connections)))
+            connection = weakref.ref(next(iter(server.app.listener.connections)))
             gc.collect()
             gc.disable()
             try:
-                if ending == "cut":
+                if ending == "aborted":
                     router.writer.transport.abort()
-                elif ending == "cannot be read":
+                elif ending == "invalid data":
                     router.writer.write(b"nonsense\r\n\r\n")
                     await until(lambda: router.ended)
                 await router.close()
-                await until(lambda: gone() is None)
+                await until(lambda: connection() is None)
             finally:
                 gc.enable()
 
     play(check)
 
 
-@pytest.mark.parametrize("when", ["once it is up", "behind its greeting"])
-def test_a_link_on_which_nothing_comes_is_given_up_and_no_run_is_lost(
+@pytest.mark.parametrize("when", ["after the replay", "after the greeting"])
+def test_a_silent_connection_to_the_agent_is_replaced_and_no_run_is_lost(
     when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(agent_actor, "SAMPLE_TIMEOUT", 0.1)
 
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
-            server.agent.silent = when == "once it is up"
-            if when == "behind its greeting":
-                monkeypatch.setattr(
-                    server.agent, "gauges", ""
-                )  # the sample that closes a replay stays unanswered
+            router, attempt_id = await server.running_request()
+            server.agent.silent = when == "after the replay"
+            if when == "after the greeting":
+                # the sample that marks the end of a replay is not answered
+                monkeypatch.setattr(server.agent, "gauges", "")
                 command = server.agent.handle_command
                 monkeypatch.setattr(
                     server.agent,
@@ -647,9 +656,11 @@
             await until(lambda: len(server.agent.subscribed) >= 2)
             monkeypatch.undo()
             server.agent.silent = False
-            server.agent.cut()  # a greeting that was swallowed is no silence: it may be waited for long
-            server.agent.passed(call)
+            server.agent.cut()  # for a discarded greeting there is no timeout, and the server may wait long
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
-            assert [id_ for id_, *_ in server.agent.launched].count(call) <= len(server.agent.subscribed)
+            assert [id_ for id_, *_ in server.agent.launched].count(attempt_id) <= len(
+                server.agent.subscribed
+            )
 
     play(check)
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that cross the start, the end or each other."""
+"""Signals during the start and the end of the process, and several at once."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from tests.test_config import CONFIG
 
 
-def test_a_notice_to_leave_after_the_end_kills_nobody() -> None:
-    class Ended:
+def test_a_termination_signal_after_the_end_is_blocked() -> None:
+    class EndedApplication:
         async def run(self) -> None:
-            """Nothing is left to do."""
+            """Return at once, as an application that has ended."""
 
-    before = signal.pthread_sigmask(signal.SIG_BLOCK, [])
+    previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, [])
     try:
-        asyncio.run(command_line.run_application(Ended()))  # type: ignore[arg-type]
+        asyncio.run(command_line.run_application(EndedApplication()))  # type: ignore[arg-type]
         blocked = signal.pthread_sigmask(signal.SIG_BLOCK, [])
         assert {signal.SIGTERM, signal.SIGINT} <= blocked
     finally:
-        signal.pthread_sigmask(signal.SIG_SETMASK, before)
+        signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
 
 
-def test_a_notice_to_leave_is_heard_though_the_parent_process_blocks_it(tmp_path: Path) -> None:
+def test_sigterm_is_handled_even_if_the_parent_process_blocked_it(tmp_path: Path) -> None:
     async def check() -> None:
         members = platform.Members()
         agent = platform.Agent()
@@ -47,14 +47,14 @@
         }
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps(data))
-        before = signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
+        previous_mask = signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM})
         try:
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "shelfhaven", "serve",
                 env=os.environ | {"GW_CONFIG": str(path)}, stderr=subprocess.DEVNULL,
             )  # fmt: skip
         finally:
-            signal.pthread_sigmask(signal.SIG_SETMASK, before)
+            signal.pthread_sigmask(signal.SIG_SETMASK, previous_mask)
         try:
             await until(lambda: b"HB n3 UP" in members.reports())
             process.send_signal(signal.SIGTERM)
@@ -67,17 +67,17 @@
     play(check)
 
 
-def test_a_reload_and_a_notice_to_leave_at_once_answer_all() -> None:
+def test_a_reload_and_two_sigterm_at_once_leave_no_request_unanswered() -> None:
     async def check() -> None:
         async with site(stop_ms=1500) as server:
-            router, call = await server.running_request()
-            moved = platform.Members()
-            server.rewrite(members=f"127.0.0.1:{moved.port}")
+            router, attempt_id = await server.running_request()
+            new_members = platform.Members()
+            server.rewrite_config(members=f"127.0.0.1:{new_members.port}")
             os.kill(os.getpid(), signal.SIGHUP)
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGTERM)
-            await until(lambda: b"HB n3 OUT" in moved.reports())
-            server.agent.passed(call)
+            await until(lambda: b"HB n3 OUT" in new_members.reports())
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
             await until(server.running.done)
             assert server.running.exception() is None
--- a/tests/server/test_unknown_clients.py
+++ b/tests/server/test_unknown_clients.py
@@ -1,4 +1,4 @@
-"""Who breaks the routers' protocol or only takes room: told so or closed on, in nobody's way."""
+"""Clients that violate the routers' protocol or only occupy connections must not affect other clients."""
 
 from __future__ import annotations
 
@@ -13,90 +13,101 @@
 from tests.peers import play, site
 
 
-def test_who_stays_silent_is_closed_on_and_who_asked_once_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_without_a_message_is_closed_after_the_timeout_and_one_that_sent_a_request_is_not(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Connection, "message_timeout", 0.2)
     monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
 
     async def check() -> None:
         async with site() as server:
-            silent, holder = await server.router(), await server.router()
-            holder.request(1)
-            await holder.answer(1)
+            silent, idle_router = await server.router(), await server.router()
+            idle_router.request(1)
+            await idle_router.answer(1)
             await until(lambda: silent.ended)
-            assert not holder.ended
+            assert not idle_router.ended
 
     play(check)
 
 
-def test_who_stalls_in_a_message_is_closed_on_after_what_is_owed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_connection_that_stalls_within_a_message_is_closed_after_its_outstanding_answers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(Connection, "message_timeout", 0.2)
     monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
 
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             router.writer.write(b"Content-Length: 500\r\n\r\n{")
             await until(lambda: router.got)
             assert router.got[0]["id"] is None
             assert not router.ended
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
             await until(lambda: router.ended)
 
     play(check)
 
 
-def test_when_all_connections_are_taken_those_that_nobody_uses_make_room() -> None:
+def test_unused_connections_are_closed_for_new_ones_at_the_connection_limit() -> None:
     async def check() -> None:
         async with site(limits={"sockets": 40}) as server:
             server.agent.on_launch = server.agent.keep_running
             busy = await server.router()
-            call = busy.request(1)
-            holders = [await server.router() for _ in range(19)]  # with the busy one these are all
-            for number, holder in enumerate(holders[:10]):
-                holder.request(1, "unheard-of", call=f"{number + 100:016x}")
-                await holder.answer(1)
+            attempt_id = busy.request(1)
+            idle_routers = [
+                await server.router() for _ in range(19)
+            ]  # these and the busy one are the maximum
+            for number, idle_router in enumerate(idle_routers[:10]):
+                idle_router.request(1, "unheard-of", call=f"{number + 100:016x}")
+                await idle_router.answer(1)
             await until(lambda: len(server.app.listener.connections) == 20)
-            late = await server.router()
-            late.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
-            assert (await late.answer(2))["result"]["green"] is True
-            assert not any(holder.ended for holder in holders[:10])  # who never asked goes first
-            assert any(holder.ended for holder in holders[10:])
-            server.agent.passed(call)
+            waiting = await server.router()
+            waiting.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
+            assert (await waiting.answer(2))["result"]["green"] is True
+            assert not any(
+                idle_router.ended for idle_router in idle_routers[:10]
+            )  # those that never sent a request are closed first
+            assert any(idle_router.ended for idle_router in idle_routers[10:])
+            server.agent.passed(attempt_id)
             assert "result" in await busy.answer(1)
 
     play(check)
 
 
-def test_a_connection_with_something_unread_or_open_is_never_closed_to_make_room() -> None:
+def test_a_connection_with_an_open_request_is_never_closed_for_a_new_one() -> None:
     async def check() -> None:
         async with site(limits={"sockets": 16}) as server:
             server.agent.on_launch = server.agent.keep_running
-            takers = [await server.router() for _ in range(3)]
-            calls = [taker.request(1, call=f"{number + 100:016x}") for number, taker in enumerate(takers)]
+            busy_routers = [await server.router() for _ in range(3)]
+            attempt_ids = [
+                busy_router.request(1, call=f"{number + 100:016x}")
+                for number, busy_router in enumerate(busy_routers)
+            ]
             await until(lambda: len(server.agent.launched) == 3)
-            late = await server.router()
-            late.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
+            waiting = await server.router()
+            waiting.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             await until(lambda: not server.app.listener.accepting)
-            for call in calls:
-                server.agent.passed(call)
-            for taker in takers:
-                assert "result" in await taker.answer(1)
-            assert "result" in await late.answer(2)
+            for attempt_id in attempt_ids:
+                server.agent.passed(attempt_id)
+            for busy_router in busy_routers:
+                assert "result" in await busy_router.answer(1)
+            assert "result" in await waiting.answer(2)
 
     play(check)
 
 
-def test_who_asks_and_takes_back_is_answered_once_and_what_runs_goes_on() -> None:
+def test_many_cancelled_requests_are_each_answered_once_and_a_running_one_continues() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             for number in range(2, 300):
                 router.request(number)
                 router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": number}})
             router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 999}})
             assert (await router.answer(299))["error"]["code"] == jsonrpc.CANCELLED
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
             assert sorted(message["id"] for message in router.got) == list(range(1, 300))
             await until(lambda: len(server.app.core.requests.unanswered) == 0)
@@ -105,7 +116,7 @@
 
 
 @pytest.mark.parametrize("recv", [1.0, 4e15])
-def test_a_time_far_from_now_is_told_so_and_moves_nothing(recv: float) -> None:
+def test_an_implausible_arrival_time_is_rejected_and_does_not_affect_the_lag(recv: float) -> None:
     async def check() -> None:
         async with site() as server:
             router = await server.router()
@@ -118,14 +129,14 @@
     play(check)
 
 
-def test_the_name_of_an_open_try_is_answered_and_never_served() -> None:
+def test_an_attempt_id_that_is_in_use_is_rejected() -> None:
     async def check() -> None:
         async with site() as server:
-            router, call = await server.running_request()
+            router, attempt_id = await server.running_request()
             stranger = await server.router()
-            stranger.request(1, call=call)
+            stranger.request(1, call=attempt_id)
             assert "error" in await stranger.answer(1)
-            server.agent.passed(call)
+            server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
             assert len(stranger.of(1)) == 1
 
@@ -144,7 +155,7 @@
     ],
 )
 @pytest.mark.parametrize("bytewise", [False, True])
-def test_what_is_no_message_is_told_so_and_closed_on(data: bytes, bytewise: bool) -> None:
+def test_a_connection_that_sends_invalid_data_is_closed(data: bytes, bytewise: bool) -> None:
     async def check() -> None:
         async with site() as server:
             stranger = await server.router()
@@ -161,7 +172,7 @@
     play(check)
 
 
-def test_a_body_of_60_mb_is_ended_by_a_close_while_it_is_still_written() -> None:
+def test_a_connection_that_sends_a_60_mb_body_is_closed_before_its_end() -> None:
     async def check() -> None:
         async with site() as server:
             stranger = await server.router()
