--- a/shelfhaven/program/peers.py
+++ b/shelfhaven/program/peers.py
@@ -10,8 +10,8 @@
 from shelfhaven.program.component import Component, Files, StatusFields
 from shelfhaven.server.core import Core
 from shelfhaven.server.descriptors import Descriptors
-from shelfhaven.server.load_reporter import LoadReporter
 from shelfhaven.server.log import Log
+from shelfhaven.server.status_reporter import StatusReporter
 
 PEERS = ("agent", "ledger", "members")  # whose addresses a new configuration file changes
 
@@ -22,7 +22,7 @@
     def __init__(self, first: Config, core: Core, descriptors: Descriptors, log: Log) -> None:
         self.agent = Agent(first.agent, core.put, log)
         self.ledger = Ledger(first.ledger, descriptors, core.put, log)
-        self.members = LoadReporter(first.members, first.name, log)
+        self.members = StatusReporter(first.members, first.name, log)
         self.link: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
--- a/shelfhaven/server/answer_sender.py
+++ b/shelfhaven/server/answer_sender.py
@@ -14,7 +14,7 @@
 from shelfhaven.server.clocks import Clocks
 from shelfhaven.server.request import Request
 from shelfhaven.server.request_table import RequestTable
-from shelfhaven.server.timers import GAUGES_WAIT
+from shelfhaven.server.timers import MAX_GAUGES_WAIT
 
 
 class AnswerSender:
@@ -45,7 +45,7 @@
     def fail(self, request: Request, text: str) -> None:
         """Answer with an error that promises nothing about the effect."""
         time_left = request.time_left(self.clocks.wall())
-        is_late = time_left <= self.controller.answer_margin + GAUGES_WAIT
+        is_late = time_left <= self.controller.answer_margin + MAX_GAUGES_WAIT
         answer = messages.FailedAnswer(
             request.submission.request_ref, text, self.advertised_load, deadline_passed=is_late
         )
--- a/shelfhaven/server/core.py
+++ b/shelfhaven/server/core.py
@@ -39,7 +39,7 @@
 from shelfhaven.server.request_completion import RequestCompletion
 from shelfhaven.server.request_table import RequestTable
 from shelfhaven.server.run_launcher import RunLauncher
-from shelfhaven.server.timers import GAUGES_WAIT, Timers
+from shelfhaven.server.timers import MAX_GAUGES_WAIT, Timers
 
 INTERNAL_ERROR_TEXT = "an error in this server"
 TIMER_RETRY_DELAY = 0.1  # seconds after which a timer that the controller failed on comes again
@@ -59,7 +59,7 @@
         self.log = log
         self.clocks = Clocks(clock, wall)
         # timers wait for gauges at most that long: the controller makes its margins from the tick
-        settings = replace(config.settings, tick=max(config.settings.tick, GAUGES_WAIT))
+        settings = replace(config.settings, tick=max(config.settings.tick, MAX_GAUGES_WAIT))
         self.controller = Controller(settings, config.seed)
         self.mailbox: Mailbox[messages.CoreMessage] = Mailbox(self._handle, log)
         self.events: deque[Event] = deque()  # for the controller, after the actions in hand
--- a/shelfhaven/server/load_reporter.py
+++ b/shelfhaven/server/status_reporter.py
@@ -24,7 +24,7 @@
 REPORT_INTERVAL = 0.25  # seconds; the list drops a server after 3 without one, so 11 in a row may be lost
 
 
-class LoadReporter:
+class StatusReporter:
     """Reports to one address at a time, or to none without an address."""
 
     def __init__(self, address: Address | None, name: str, log: Log) -> None:
--- a/shelfhaven/server/timers.py
+++ b/shelfhaven/server/timers.py
@@ -21,7 +21,7 @@
 from shelfhaven.server.mailbox import after_reading
 from shelfhaven.server.request_table import RequestTable
 
-GAUGES_WAIT = 0.01  # seconds; the longest that due timers wait for a sample of the gauges
+MAX_GAUGES_WAIT = 0.01  # seconds; the longest that due timers wait for a sample of the gauges
 
 
 class Timer(NamedTuple):
@@ -94,7 +94,7 @@
         tag = self.awaited_sample = f"t{next(self.sample_numbers)}"
         if self.actors.gauge_source.up:
             self.actors.gauge_source.put(messages.SampleGauges(tag))
-            asyncio.get_running_loop().call_later(GAUGES_WAIT, self._fire_after_reading, tag)
+            asyncio.get_running_loop().call_later(MAX_GAUGES_WAIT, self._fire_after_reading, tag)
         else:
             self._fire_after_reading(tag)
 
--- a/tests/server/test_load_reporter.py
+++ b/tests/server/test_status_reporter.py
@@ -7,9 +7,9 @@
 
 from shelfhaven.config import Address
 from shelfhaven.lab.platform import Members as Service
-from shelfhaven.server import load_reporter
-from shelfhaven.server.load_reporter import LoadReporter
+from shelfhaven.server import status_reporter
 from shelfhaven.server.log import Log
+from shelfhaven.server.status_reporter import StatusReporter
 from tests.peers import NULL, play
 
 
@@ -17,7 +17,7 @@
     async def check() -> None:
         service = Service()
         address = Address("127.0.0.1", service.port)
-        reporters = [LoadReporter(address, f"n{number}", Log("test", NULL)) for number in range(40)]
+        reporters = [StatusReporter(address, f"n{number}", Log("test", NULL)) for number in range(40)]
         started_at = time.monotonic()
         first_report_times: dict[bytes, float] = {}
         for reporter in reporters:
@@ -29,9 +29,9 @@
         for reporter in reporters:
             reporter.end()
         sorted_times = sorted(first_report_times.values())
-        assert sorted_times[-1] <= load_reporter.REPORT_INTERVAL + 0.2
+        assert sorted_times[-1] <= status_reporter.REPORT_INTERVAL + 0.2
         assert (
-            sorted_times[30] - sorted_times[9] >= 0.25 * load_reporter.REPORT_INTERVAL
+            sorted_times[30] - sorted_times[9] >= 0.25 * status_reporter.REPORT_INTERVAL
         ), "the reports bunch together"
 
     play(check)
