--- a/tests/frontends/test_consulting.py
+++ b/tests/frontends/test_consulting.py
@@ -21,7 +21,7 @@
 from shelfhaven.routing import processor_policy
 from shelfhaven.routing.processor_policy import ConsultationStage, ConsultSettings
 from shelfhaven.server import messages
-from tests.peers import play
+from tests.peers import run_async
 
 LEASE_S = 0.02
 VERDICT_TIMEOUT_S = 60.0
@@ -95,7 +95,7 @@
         assert world.events == ["lease_out"]
         assert world.ended == [(session.attempt_id, Outcome.TIMEOUT)]
 
-    play(check)
+    run_async(check)
 
 
 def test_the_end_of_the_stream_ends_the_run_and_cancels_its_lease() -> None:
@@ -109,7 +109,7 @@
         assert world.ended == [(session.attempt_id, Outcome.RESET)]
         assert not world.listener.runner.consultations
 
-    play(check)
+    run_async(check)
 
 
 def test_the_end_of_the_stream_before_the_verdict_withdraws_the_request() -> None:
@@ -123,7 +123,7 @@
         assert world.listener.load_shedder.withdrawn == 1
         assert not world.ended
 
-    play(check)
+    run_async(check)
 
 
 def test_a_verdict_is_given_once() -> None:
@@ -137,7 +137,7 @@
         assert session.verdict.result() == b"503"
         assert world.ended == [(session.attempt_id, Outcome.CONNECT_FAILED)], "the proxy runs nothing"
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("max_streams", [1, 3])
--- a/tests/frontends/test_extproc.py
+++ b/tests/frontends/test_extproc.py
@@ -20,7 +20,7 @@
     running_proxy_node,
     upstream_waiting_for,
 )
-from tests.peers import play
+from tests.peers import run_async
 
 KEYED = {"idempotency-key": "k"}
 
@@ -34,7 +34,7 @@
             await until(lambda: not node.app.core.requests)
             assert not node.runs  # no server of a pool had a part in it
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
                 False,
             )
 
-    play(check)
+    run_async(check)
 
 
 def test_a_consultation_beyond_capacity_is_rejected_within_its_verdict_time() -> None:
@@ -71,7 +71,7 @@
             release.set()
             assert (await first).reply
 
-    play(check)
+    run_async(check)
 
 
 def test_a_keyed_request_runs_once_through_two_proxies_and_over_uwsgi() -> None:
@@ -98,7 +98,7 @@
             another = await two.ask("POST", "/topup", b"ten", **KEYED)
             assert another.forwarded
 
-    play(check)
+    run_async(check)
 
 
 def test_a_keyed_request_that_ran_at_a_backend_is_not_continued_for_a_proxy() -> None:
@@ -113,7 +113,7 @@
                 False,
             )
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("fail_open", [True, False])
@@ -138,7 +138,7 @@
             assert again.forwarded is not fail_open
             assert sum(run.body == b"five" for run in node.forwarded) == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_proxy_that_resets_after_the_verdict_may_have_run_it_and_nobody_runs_it_again() -> None:
@@ -157,7 +157,7 @@
             release.set()
             await asyncio.gather(asking, return_exceptions=True)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_proxy_that_dies_with_a_thousand_streams_open_leaves_nothing_behind() -> None:
@@ -177,7 +177,7 @@
             await asyncio.gather(*asking, return_exceptions=True)
             await ask_until_forwarded(node.proxy())
 
-    play(check)
+    run_async(check)
 
 
 def test_an_unreported_run_ends_with_its_lease_and_later_messages_pass_through() -> None:
@@ -194,7 +194,7 @@
             assert (await node.topup("k")).status == 502
             assert not node.runs
 
-    play(check)
+    run_async(check)
 
 
 def test_a_result_over_the_limit_is_passed_through_and_its_duplicate_fails_without_a_run() -> None:
@@ -212,7 +212,7 @@
             assert again.reply
             assert (again.reply.status, again.reply.not_run, again.forwarded) == (502, False, False)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -234,7 +234,7 @@
             assert await stream.code() is grpc.StatusCode.INVALID_ARGUMENT
             assert (await proxy.ask("GET", "/balance/1")).forwarded
 
-    play(check)
+    run_async(check)
 
 
 def test_bodies_and_trailers_that_were_not_requested_pass_through() -> None:
@@ -258,7 +258,7 @@
             await stream.done_writing()
             await until(lambda: not node.app.core.requests)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_result_beyond_the_buffer_limit_is_not_buffered() -> None:
@@ -283,7 +283,7 @@
             assert again.reply
             assert (again.reply.status, again.forwarded) == (502, False)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_stream_that_sends_nothing_is_aborted_in_time() -> None:
@@ -294,7 +294,7 @@
             await until(lambda: node.app.processors[0].open_requests() == 0)
             assert await stream.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
-    play(check)
+    run_async(check)
 
 
 def test_streams_beyond_the_limit_are_rejected() -> None:
@@ -313,7 +313,7 @@
             await first
             assert (await proxy.ask("GET", "/balance/3")).forwarded
 
-    play(check)
+    run_async(check)
 
 
 def test_shadow_classes_always_continue_and_their_rejections_are_counted() -> None:
@@ -332,7 +332,7 @@
             release.set()
             assert [exchange.forwarded for exchange in await asyncio.gather(first, second)] == [True, True]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_drain_is_announced_admits_nothing_new_and_lets_open_consultations_end() -> None:
@@ -356,4 +356,4 @@
             await node.running
             assert node.app.phase is Phase.ENDED
 
-    play(check)
+    run_async(check)
--- a/tests/frontends/test_extproc_faults.py
+++ b/tests/frontends/test_extproc_faults.py
@@ -36,7 +36,7 @@
     ask_until_forwarded,
     running_proxy_node,
 )
-from tests.peers import play
+from tests.peers import run_async
 
 # HTTP/2
 
@@ -92,7 +92,7 @@
             await ask_until_forwarded(node.proxy())
             bad.writer.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_thousands_of_resets_at_once_leave_nothing_behind() -> None:
@@ -113,7 +113,7 @@
             bad.writer.close()
             await until(lambda: not node.app.processors[0].open_requests() and not node.app.core.requests)
 
-    play(check)
+    run_async(check)
 
 
 def test_headers_over_the_limit_and_a_flood_of_pings_do_not_affect_other_connections() -> None:
@@ -130,7 +130,7 @@
             large.writer.close()
             pings.writer.close()
 
-    play(check)
+    run_async(check)
 
 
 # A stopped process
@@ -170,7 +170,7 @@
             await ask_until_forwarded(proxy)
             await proxy.close()
 
-    play(check)
+    run_async(check)
 
 
 # A rolling deploy
@@ -242,7 +242,7 @@
         assert max(latencies) < 0.5
         assert sum(exchange.forwarded for exchange in exchanges) > 300
 
-    play(check)
+    run_async(check)
 
 
 # Certificates
@@ -279,7 +279,7 @@
             assert (await proxy(new, True).ask("GET", "/balance/3")).forwarded
             assert not (await proxy(old, True).ask("GET", "/balance/4")).forwarded
 
-    play(check)
+    run_async(check)
 
 
 # Imports
--- a/tests/frontends/test_shared_idempotency_keys.py
+++ b/tests/frontends/test_shared_idempotency_keys.py
@@ -9,7 +9,7 @@
 from shelfhaven.lab.callers import connect, until, variables
 from shelfhaven.protocol import uwsgi
 from tests.frontends.nodes import body_of, running_node
-from tests.peers import play
+from tests.peers import run_async
 
 
 @pytest.mark.parametrize("first", ["uwsgi", "jsonrpc"])
@@ -40,7 +40,7 @@
             assert await one == await other == b"made for five"
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_duplicate_after_the_result_was_dropped_fails_and_is_never_run_again() -> None:
@@ -55,7 +55,7 @@
             assert (reply.status, reply.not_run) == (502, False)
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_duplicate_after_the_answer_was_lost_with_its_connection_gets_the_result() -> None:
@@ -74,7 +74,7 @@
             assert body_of(await router.answer(1)) == b"made for five"
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_another_body_or_another_tenant_under_the_same_key_is_another_request() -> None:
@@ -88,4 +88,4 @@
             assert body_of(await router.answer(1)) == b"made for five"
             assert (node.ran(b"five"), node.ran(b"ten")) == (2, 1)
 
-    play(check)
+    run_async(check)
--- a/tests/frontends/test_subrequest.py
+++ b/tests/frontends/test_subrequest.py
@@ -17,7 +17,7 @@
     running_proxy_node,
     upstream_waiting_for,
 )
-from tests.peers import play
+from tests.peers import run_async
 
 
 async def subrequest(address: Address, method: str, path: str, **headers: str) -> Reply:
@@ -55,7 +55,7 @@
             assert ("x-budget-left-ms" in reply.fields) == (status == 200)
             await until(lambda: not node.app.core.requests)  # the lease is over
 
-    play(check)
+    run_async(check)
 
 
 def test_a_subrequest_beyond_capacity_is_rejected_with_retry_after() -> None:
@@ -66,7 +66,7 @@
             assert (reply.status, reply.not_run) == (403, True)
             assert reply.retry_after > 0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_keyed_subrequest_continues_once_within_its_key_ttl() -> None:
@@ -78,7 +78,7 @@
             reply = await subrequest(auth, "POST", "/topup", **key)
             assert (reply.status, reply.not_run) == (502, False)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_subrequest_whose_proxy_gives_up_before_the_verdict_is_withdrawn() -> None:
@@ -97,4 +97,4 @@
             release.set()
             await holding
 
-    play(check)
+    run_async(check)
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -11,7 +11,7 @@
 from shelfhaven.lab.callers import connect, read_reply, until, variables
 from shelfhaven.protocol import uwsgi
 from tests.frontends.nodes import FrontendNode, body_of, running_node
-from tests.peers import play
+from tests.peers import run_async
 
 # The ordinary path
 
@@ -30,7 +30,7 @@
             assert 0 < int(received["HTTP_X_TIME_LEFT_MS"]) <= 900
             assert "HTTP_IDEMPOTENCY_KEY" not in received
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_is_served_by_the_same_backends() -> None:
@@ -41,7 +41,7 @@
             assert body_of(await router.answer(1)) == b"made for ask"
             assert node.runs[0].path == "/balance/any"
 
-    play(check)
+    run_async(check)
 
 
 def test_a_listener_on_a_unix_socket_serves_and_leaves_no_file() -> None:
@@ -57,7 +57,7 @@
         running.backends[0].stop()
         running.folder.cleanup()
 
-    play(check)
+    run_async(check)
 
 
 def test_health_and_load_have_paths_of_their_own() -> None:
@@ -70,7 +70,7 @@
             assert (await node.ask("GET", "/-/health")).status == 503
             assert not node.runs
 
-    play(check)
+    run_async(check)
 
 
 def test_a_persistent_connection_carries_further_requests() -> None:
@@ -84,7 +84,7 @@
                 assert reply.fields["connection"] == "keep-alive"
             writer.close()
 
-    play(check)
+    run_async(check)
 
 
 # What cannot be read
@@ -118,7 +118,7 @@
             assert not node.runs
             assert (await node.ask("GET", "/balance/1")).status == 200
 
-    play(check)
+    run_async(check)
 
 
 def test_a_body_that_is_far_too_large_is_rejected_while_it_is_still_received() -> None:
@@ -133,7 +133,7 @@
             assert await reader.read() == b""  # an end, no reset that could overtake the answer
             writer.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_bytes_after_a_request_do_not_cost_its_answer() -> None:
@@ -148,7 +148,7 @@
             assert await reader.read() == b""
             writer.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_an_answer_that_is_not_read_is_given_up_in_time() -> None:
@@ -169,7 +169,7 @@
             assert not node.app.core.requests
             writer.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_caller_that_closes_early_is_a_cancel() -> None:
@@ -184,4 +184,4 @@
             node.backends[0].release.set()
             await until(lambda: not node.app.core.requests)
 
-    play(check)
+    run_async(check)
--- a/tests/frontends/test_uwsgi_faults.py
+++ b/tests/frontends/test_uwsgi_faults.py
@@ -15,7 +15,7 @@
 from shelfhaven.lab.checker import AnswerKind, Attempt
 from shelfhaven.program.app import Phase
 from tests.frontends.nodes import body_of, running_node
-from tests.peers import play
+from tests.peers import run_async
 
 # A malformed packet during a drain
 
@@ -44,7 +44,7 @@
             writer.close()
             bad.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_drain_answers_admitted_requests_and_rejects_those_after_the_grace() -> None:
@@ -63,7 +63,7 @@
             assert (await waiting).status == 200
             await node.running
 
-    play(check)
+    run_async(check)
 
 
 # Failing backends
@@ -79,7 +79,7 @@
             assert (reply.status, reply.not_run) == (502, False)
             assert len(node.runs) == runs
 
-    play(check)
+    run_async(check)
 
 
 def test_a_keyed_run_whose_answer_was_lost_is_never_run_again() -> None:
@@ -93,7 +93,7 @@
             assert (await node.topup("k")).status == 502
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("dead", [True, False])
@@ -113,7 +113,7 @@
             assert (await node.topup("k")).body == b"made for five"
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_dead_backend_costs_no_answer_while_another_is_up() -> None:
@@ -124,7 +124,7 @@
                 assert (await node.topup(f"k{number}", b"%d" % number)).status == 200
             assert len(node.runs) == 20
 
-    play(check)
+    run_async(check)
 
 
 def test_an_answer_after_the_callers_deadline_is_stored_for_its_duplicate() -> None:
@@ -139,7 +139,7 @@
             assert (await node.topup("k")).body == b"made for five"
             assert node.ran(b"five") == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_hanging_backends_cost_no_answer_and_differ_from_rejections() -> None:
@@ -156,7 +156,7 @@
                 assert reply.not_run == (reply.status == 503)
                 assert not (reply.not_run and b"%d" % number in sent)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,7 @@
             node.backends[0].mode = StubMode.SERVE
             assert (await node.topup("k2", b"ten")).body == b"made for ten"
 
-    play(check)
+    run_async(check)
 
 
 def test_a_response_without_a_length_that_a_reset_cuts_short_is_a_failure() -> None:
@@ -191,7 +191,7 @@
             reply = await node.topup("k")
             assert (reply.status, reply.not_run) == (502, False)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("length", [b"Content-Length: 4\r\n", b""])
@@ -203,7 +203,7 @@
             node.backends[0].raw_response = b"HTTP/1.1 200 OK\r\n" + length + b"\r\ngood" + more
             assert (await node.topup("k")).body == b"good"
 
-    play(check)
+    run_async(check)
 
 
 # A new operator configuration
@@ -233,7 +233,7 @@
             assert len(node.runs) == 5
             assert not pool.draining
 
-    play(check)
+    run_async(check)
 
 
 def test_sighup_with_a_faulty_file_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -255,7 +255,7 @@
             assert taken["kept_until_restart"] == ["settings"]
             assert (await node.topup("k")).status == 200
 
-    play(check)
+    run_async(check)
 
 
 # Both protocols beyond capacity, with a drain
@@ -325,4 +325,4 @@
             flapping.cancel()
             assert max(node.ran(run.body) for run in node.runs if run.key) == 1
 
-    play(check)
+    run_async(check)
--- a/tests/lab/test_callers.py
+++ b/tests/lab/test_callers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from shelfhaven.lab.callers import Router, until
-from tests.peers import play
+from tests.peers import run_async
 
 
 class ConnectedRouter(NamedTuple):
@@ -43,7 +43,7 @@
         assert router.ended
         server.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_waiting_for_an_answer_on_an_ended_connection_fails_at_once() -> None:
@@ -54,4 +54,4 @@
             await asyncio.wait_for(router.wait_for_answer(1), 5.0)
         server.close()
 
-    play(check)
+    run_async(check)
--- a/tests/lab/test_uwsgi_benchmark.py
+++ b/tests/lab/test_uwsgi_benchmark.py
@@ -12,7 +12,7 @@
 from shelfhaven.frontends.connection import MESSAGE_TIMEOUT_S
 from shelfhaven.frontends.listener import WATCH_INTERVAL_S
 from shelfhaven.lab.callers import Reply, ask
-from tests.peers import play
+from tests.peers import run_async
 
 
 def test_routers_connections_outlast_slow_rounds_of_the_other_protocols(
@@ -31,4 +31,4 @@
             "jsonrpc": 2,
         }
 
-    play(check)
+    run_async(check)
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -33,7 +33,7 @@
 )
 from shelfhaven.protocol.pb import etcd_pb2 as pb
 from shelfhaven.server.log import Log
-from tests.peers import NULL, play
+from tests.peers import NULL, run_async
 
 T = TypeVar("T")
 PREFIX = "/fleet/"
@@ -88,7 +88,7 @@
             assert done.items == {f"k{n}": Endpoint(f"v{n}", n + 3) for n in range(8)}
             assert (done.store, done.revision, store.requests_by_method["Range"]) == ("abcd", 10, 3)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_registration_has_a_lease_that_can_be_renewed_revoked_and_lost() -> None:
@@ -102,7 +102,7 @@
             await until(lambda: not store.kvs)
             assert (await client.does(RenewLease(got.lease_id), LeaseRenewalAnswered)).lease_lost
 
-    play(check)
+    run_async(check)
 
 
 def test_a_watch_reports_later_changes_and_no_later_revision_before_them() -> None:
@@ -120,7 +120,7 @@
             store.put(f"{PREFIX}k9", "v")
             await until(lambda: len(client.told) == 3)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_response_with_events_reports_the_revision_of_the_last_one() -> None:
@@ -146,7 +146,7 @@
             await store.stop()
             await until(lambda: client.told[-1] == WatchLost(False, None))
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("mode", [Mode.HANG, Mode.REJECT, Mode.LEADERLESS])
@@ -167,7 +167,7 @@
             await asyncio.sleep(0.3)
             assert len(client.told) == 4, "nothing comes late"
 
-    play(check)
+    run_async(check)
 
 
 def test_after_a_failed_endpoint_the_next_one_is_used() -> None:
@@ -182,7 +182,7 @@
         await client.etcd.end()
         await there.stop()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_watch_without_changes_reports_progress_and_a_dead_one_is_lost(
@@ -198,4 +198,4 @@
             store.mode = Mode.HANG
             await until(lambda: isinstance(client.told[-1], WatchLost))
 
-    play(check)
+    run_async(check)
--- a/tests/membership/test_peer_rpc.py
+++ b/tests/membership/test_peer_rpc.py
@@ -16,7 +16,7 @@
 from shelfhaven.membership.peer_rpc import MAX_SAVED_COST, MIN_RETRY_AFTER_S, PeerRpc, PeerRpcError
 from shelfhaven.membership.snapshot_codec import PeerAnswer
 from shelfhaven.server.log import Log
-from tests.peers import NULL, play
+from tests.peers import NULL, run_async
 
 SECRET = b"a secret of a fleet"
 SNAPSHOT = ListSnapshot(ListVersion(0, 7, "s"), 1.0, {"nodes/z/n1": Endpoint("a1", 7)})
@@ -56,7 +56,7 @@
             assert polled.polls == [("a9", since, True)]
             assert polled.rpc.answered == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_requests_are_those_that_nodes_of_earlier_versions_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -79,7 +79,7 @@
         assert (poll.value.retry_after, post.value.retry_after) == (1.5, 1.5)
         await rpc.end()
 
-    play(check)
+    run_async(check)
     poll_head, post_head = heads
     assert poll_head.startswith(
         b"GET /list?era=1&revision=5&store=s+t&from=a9&whole=0&servers=1 HTTP/1.1\r\n"
@@ -101,7 +101,7 @@
             assert caught.value.retry_after is None
             assert polled.polls == []
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
@@ -115,7 +115,7 @@
             writer.close()
             assert polled.polls == []
 
-    play(check)
+    run_async(check)
 
 
 def test_an_answer_whose_digest_is_not_ascii_is_somebody_elses() -> None:
@@ -132,7 +132,7 @@
                 await rpc.poll(peer, "a9", ListVersion(), False)
         await rpc.end()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_peer_that_spent_its_budget_names_a_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -147,7 +147,7 @@
             assert caught.value.retry_after >= MIN_RETRY_AFTER_S
             assert polled.rpc.rejected == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_peer_that_is_not_there_cannot_have_taken_the_poll() -> None:
@@ -157,4 +157,4 @@
                 await polling.rpc.poll(f"127.0.0.1:{reserved_port()}", "a9", ListVersion(), False)
             assert not caught.value.sent
 
-    play(check)
+    run_async(check)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -25,13 +25,13 @@
 NULL = os.open(os.devnull, os.O_WRONLY)
 
 
-class Site:
+class ServerUnderTest:
     """A server in this process, with stubs of its agent, ledger and membership service."""
 
     def __init__(self) -> None:
         self.agent, self.ledger, self.members = Agent(), Ledger(), Members()
         self.app: App
-        self.running: asyncio.Task[None]
+        self.app_task: asyncio.Task[None]
         self.folder = tempfile.TemporaryDirectory()
         self.path: Path
         self.data: dict[str, Any]
@@ -57,7 +57,7 @@
         self.path = Path(self.folder.name) / "config.json"
         self.rewrite_config()
         self.app = App(Files(config.load(self.path)), Log("test", NULL), self.path)
-        self.running = asyncio.get_running_loop().create_task(self.app.run())
+        self.app_task = asyncio.get_running_loop().create_task(self.app.run())
         await until(lambda: self.app.listener.socket)
         if agent_up:
             await until(lambda: self.app.peers.agent.up)
@@ -82,20 +82,20 @@
 
 
 @contextlib.asynccontextmanager
-async def site(**changes: Any) -> AsyncIterator[Site]:
+async def running_server(**changes: Any) -> AsyncIterator[ServerUnderTest]:
     """Start a server, and cancel it at the end of the context if it still runs."""
-    running = Site()
-    await running.start(**changes)
+    server = ServerUnderTest()
+    await server.start(**changes)
     try:
-        yield running
+        yield server
     finally:
-        if not running.running.done():
-            running.running.cancel()
-        await asyncio.gather(running.running, return_exceptions=True)
-        running.folder.cleanup()
+        if not server.app_task.done():
+            server.app_task.cancel()
+        await asyncio.gather(server.app_task, return_exceptions=True)
+        server.folder.cleanup()
 
 
-def play(test: Callable[[], Awaitable[None]]) -> None:
+def run_async(test: Callable[[], Awaitable[None]]) -> None:
     """Run an asynchronous test in an event loop of its own, with a timeout."""
 
     async def run_with_timeout() -> None:
--- a/tests/server/test_downstream_calls.py
+++ b/tests/server/test_downstream_calls.py
@@ -20,7 +20,7 @@
 from shelfhaven.server import messages
 from shelfhaven.server.descriptors import Descriptors
 from shelfhaven.server.log import Log
-from tests.peers import NULL, Site, play, site
+from tests.peers import NULL, ServerUnderTest, run_async, running_server
 
 
 def attempt_id(request_id: int) -> str:
@@ -57,9 +57,9 @@
 
 
 @contextlib.asynccontextmanager
-async def site_with_calls() -> AsyncIterator[tuple[Site, Router]]:
+async def site_with_calls() -> AsyncIterator[tuple[ServerUnderTest, Router]]:
     """A server each of whose runs calls downstream, and a router."""
-    async with site() as server:
+    async with running_server() as server:
         server.agent.on_launch = server.agent.call_downstream
         yield server, await server.router()
 
@@ -74,7 +74,7 @@
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
             assert await caller.first_completions() == [expected]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_that_runs_out_is_given_up_and_may_have_run() -> None:
@@ -86,7 +86,7 @@
             assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.TIMEOUT)]
             await until(lambda: service.closed)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_without_a_connection_in_time_never_ran() -> None:
@@ -105,7 +105,7 @@
             assert [attempt for attempt, _ in service.calls] == [attempt_id(1), attempt_id(3)]
             assert caller.completed == expected
 
-    play(check)
+    run_async(check)
 
 
 def test_a_refused_connection_proves_that_no_call_ran() -> None:
@@ -114,7 +114,7 @@
         caller.place(1, timeout=5.0)
         assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_server_of_the_last_tier_calls_nobody() -> None:
@@ -123,7 +123,7 @@
         caller.place(1, timeout=5.0)
         assert await caller.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
-    play(check)
+    run_async(check)
 
 
 def test_calls_wait_when_the_system_gives_no_socket(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -141,7 +141,7 @@
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
             assert await caller.first_completions() == [expected]
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
             assert [body for _, body in server.agent.delivered] == [b"good", b"other"]
             assert server.ledger.connections == (1 if is_kept else 2)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("late", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", b"noise", b""])
@@ -191,7 +191,7 @@
                     await until(lambda: not server.app.peers.ledger.connections)
             assert [body for _, body in server.agent.delivered] == [b"done"] * 4
 
-    play(check)
+    run_async(check)
 
 
 def test_connections_that_this_side_ends_cost_no_trust_in_others(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -210,7 +210,7 @@
             assert server.ledger.connections == 1
             assert server.app.peers.ledger.reusable_from == 0.0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_that_waits_gets_the_descriptor_of_a_resting_connection(
@@ -227,4 +227,4 @@
                 assert "result" in await router.answer(number)
             assert server.ledger.connections == 3
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_interleavings.py
+++ b/tests/server/test_interleavings.py
@@ -20,7 +20,7 @@
 from shelfhaven.frontends.connection import Connection
 from shelfhaven.lab.callers import Router, until
 from shelfhaven.program.app import Phase
-from tests.peers import Site, play, site
+from tests.peers import ServerUnderTest, run_async, running_server
 
 STEPS = 60
 ROUTERS_MOST = 6
@@ -45,7 +45,7 @@
 class Play:
     """One drawn sequence of events."""
 
-    def __init__(self, running: Site, seed: int) -> None:
+    def __init__(self, running: ServerUnderTest, seed: int) -> None:
         self.site, self.random = running, random.Random(seed)
         self.peers: list[Peer] = []
         self.refs = 0
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_whatever_crosses_whatever_the_rules_hold(seed: int) -> None:
     async def check() -> None:
-        async with site(stop_ms=900) as server:
+        async with running_server(stop_ms=900) as server:
             drawn = Play(server, seed)
             notice = drawn.random.randrange(STEPS // 2, STEPS)
             for number in range(STEPS):
@@ -175,10 +175,10 @@
             server.agent.on_launch = server.agent.passed
             for call in drawn.runs:
                 server.agent.passed(call)
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
             for peer in drawn.peers:
                 await peer.router.task
             drawn.check()
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_mailbox.py
+++ b/tests/server/test_mailbox.py
@@ -7,7 +7,7 @@
 
 from shelfhaven.server.log import Log
 from shelfhaven.server.mailbox import READING_ITERATIONS, Mailbox, after_reading, peek
-from tests.peers import NULL, play
+from tests.peers import NULL, run_async
 
 
 def test_messages_to_an_ended_actor_are_discarded() -> None:
@@ -21,7 +21,7 @@
         await asyncio.sleep(0)
         assert (handled, list(mailbox.queue)) == ([], [])
 
-    play(check)
+    run_async(check)
 
 
 def test_messages_are_handled_in_order_in_the_next_iteration_and_an_error_affects_one_only() -> None:
@@ -40,7 +40,7 @@
         await asyncio.sleep(0)
         assert handled == [1, 3, -1]
 
-    play(check)
+    run_async(check)
 
 
 def test_after_reading_calls_back_after_the_reading_iterations() -> None:
@@ -53,7 +53,7 @@
         await asyncio.sleep(0)
         assert called == ["late"]
 
-    play(check)
+    run_async(check)
 
 
 def test_peek_does_not_consume_and_distinguishes_the_end_from_no_data() -> None:
--- a/tests/server/test_peer_faults.py
+++ b/tests/server/test_peer_faults.py
@@ -21,13 +21,13 @@
 from shelfhaven.program.app import Phase
 from shelfhaven.protocol import jsonrpc
 from shelfhaven.server import messages
-from tests.peers import play, site
+from tests.peers import run_async, running_server
 from tests.test_config import CONFIG
 
 
 def test_after_a_stall_what_came_in_is_read_before_time_outs_are_told() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.agent.on_launch = server.agent.keep_running
             router = await server.router()
             call = router.request(1, "pay", dedupe="k")
@@ -36,12 +36,12 @@
             time.sleep(1.1)  # the loop stands still until after the request's due time
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_fault_in_reading_costs_its_connection_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, call = await server.running_request()
             other = await server.router()
             real = jsonrpc.decode
@@ -62,12 +62,12 @@
             await until(lambda: router.ended)
             assert not other.ended
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_that_does_not_read_is_not_read_from() -> None:
     async def check() -> None:
-        async with site(domain={"cores": 40, "memory-kb": 1e6}) as server:
+        async with running_server(domain={"cores": 40, "memory-kb": 1e6}) as server:
             address = server.app.config.listen
             assert address
             slow = socket.socket()
@@ -92,25 +92,25 @@
             await router.answer(1)
             slow.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_notice_to_leave_that_comes_twice_or_early_changes_nothing() -> None:
     async def check() -> None:
-        async with site(stop_ms=300) as server:
+        async with running_server(stop_ms=300) as server:
             server.app.request_drain()
             at = server.app.stop_at
             server.app.request_drain()
             assert server.app.stop_at == at
-            await until(server.running.done)
+            await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
 
-    play(check)
+    run_async(check)
 
 
 def test_a_membership_service_that_is_down_does_no_harm() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.members.socket.close()
             for _ in range(3):  # the second report learns that nobody takes the first
                 server.app.peers.members._report()
@@ -122,32 +122,32 @@
             assert server.app.peers.members.timer is not None
             assert not server.app.peers.members.timer.cancelled()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_that_stalls_in_mid_message_holds_up_nobody() -> None:
     async def check() -> None:
-        async with site(stop_ms=600) as server:
+        async with running_server(stop_ms=600) as server:
             stalled, router = await server.router(), await server.router()
             stalled.writer.write(b"Content-Length: 400\r\n\r\n{")
             router.request(1)
             assert "result" in await router.answer(1)
             server.app.request_drain()
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
             await until(lambda: stalled.ended)
             assert [message.get("method") for message in stalled.got] == ["shutdown"]
 
-    play(check)
+    run_async(check)
 
 
 def test_phases_cannot_be_skipped() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             with pytest.raises(RuntimeError, match="serving is not followed by ended"):
                 server.app._enter(Phase.ENDED)
 
-    play(check)
+    run_async(check)
 
 
 def test_the_process_serves_from_a_file_and_drains_on_sigterm(tmp_path: Path) -> None:
@@ -187,4 +187,4 @@
         assert {line["server"] for line in lines} == {"n3"}
         agent.stop()
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_races.py
+++ b/tests/server/test_races.py
@@ -26,7 +26,7 @@
 from shelfhaven.lab.callers import until
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.program.app import Phase
-from tests.peers import Site, play, site
+from tests.peers import ServerUnderTest, run_async, running_server
 
 NONSENSE = b"nonsense\r\n\r\n"  # a head without a length
 
@@ -51,7 +51,7 @@
     return {"jsonrpc": "2.0", "id": ref, "method": "look", "params": params}
 
 
-async def the_connection(running: Site) -> Connection:
+async def the_connection(running: ServerUnderTest) -> Connection:
     """The one connection that the server holds."""
     await until(lambda: len(running.app.listener.connections) == 1)
     return next(iter(running.app.listener.connections))
@@ -62,7 +62,7 @@
 
 def test_a_router_that_has_ended_its_stream_still_gets_its_answers() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, call = await server.running_request()
             router.request(2)
             await until(lambda: len(server.agent.launched) == 2)
@@ -77,24 +77,24 @@
             assert [len(router.of(ref)) for ref in (1, 2)] == [1, 1]
             assert not server.app.listener.connections
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_that_comes_with_the_end_of_its_stream_is_answered() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.request(1)
             router.writer.write_eof()
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_router_that_is_gone_altogether_is_found_out_before_its_run_ends(reset: bool) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, call = await server.running_request()
             if reset:
                 linger = struct.pack("ii", 1, 0)
@@ -106,7 +106,7 @@
             server.agent.passed(call)
             await until(lambda: not server.app.core.requests)
 
-    play(check)
+    run_async(check)
 
 
 # Requests read together with what cannot be read
@@ -114,14 +114,14 @@
 
 def test_a_request_before_bytes_that_cannot_be_cut_is_answered() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.writer.write(health_check(1) + NONSENSE)
             await until(lambda: router.ended)
             assert sorted(message["id"] or 0 for message in router.got) == [0, 1]
             assert "result" in router.of(1)[0]
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -131,14 +131,14 @@
 )
 def test_requests_around_a_message_that_cannot_be_read_are_answered(bad: bytes) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.writer.write(health_check(1) + framed(bad) + health_check(2))
             await until(lambda: router.ended)
             assert sorted(message["id"] or 0 for message in router.got) == [0, 1, 2]
             assert all("result" in router.of(ref)[0] for ref in (1, 2))
 
-    play(check)
+    run_async(check)
 
 
 # Closes in order
@@ -146,7 +146,7 @@
 
 def test_a_close_over_unread_bytes_does_not_reset_what_was_answered() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, call = await server.running_request()
             router.writer.write(NONSENSE)
             await until(lambda: router.got)  # it is told so, and nothing more is read from it
@@ -158,14 +158,14 @@
             assert router.reader.exception() is None  # an end of stream, no reset
             assert "result" in router.of(1)[0]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_close_waits_a_bounded_time_for_a_peer_that_does_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "CLOSE_TIMEOUT_S", 0.1)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             listen = server.app.config.listen
             assert listen
             with socket.create_connection((listen.host, listen.port)) as stubborn:
@@ -176,14 +176,14 @@
                 assert connection.state is ConnectionState.CLOSED
             assert server.app.descriptors.inbound == 0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connection_that_waits_for_its_peers_end_makes_room_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "CLOSE_TIMEOUT_S", 60.0)
 
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             listen = server.app.config.listen
             assert listen
             most = server.app.descriptors.max_inbound
@@ -204,7 +204,7 @@
                 assert "result" in await late.answer(9)
             assert not any(other.ended for other in others)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_run_and_may_come_again(
@@ -220,7 +220,7 @@
         drop(connection)
 
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             listen = server.app.config.listen
             assert listen
             with socket.create_connection((listen.host, listen.port)) as idle:
@@ -241,12 +241,12 @@
                 with contextlib.suppress(ConnectionResetError):
                     assert idle.recv(100) == b"", "no answer, and none half sent"
 
-    play(check)
+    run_async(check)
 
 
 def test_callers_that_have_asked_keep_their_connections_while_silent_ones_fill_the_rest() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             most = server.app.descriptors.max_inbound
             known = [await server.router() for _ in range(most // 2)]
             for number, router in enumerate(known):
@@ -270,12 +270,12 @@
                 router.writer.write(health_check(50 + number))
                 assert "result" in await router.answer(50 + number)
 
-    play(check)
+    run_async(check)
 
 
 def test_callers_that_have_asked_and_hold_more_than_their_part_make_room() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             known = [await server.router() for _ in range(server.app.descriptors.max_inbound)]
             for number, router in enumerate(known):
                 router.writer.write(health_check(number + 1))
@@ -286,7 +286,7 @@
             late.writer.write(health_check(9))
             assert "result" in await late.answer(9)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_whose_last_byte_comes_at_the_very_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -300,7 +300,7 @@
     monkeypatch.setattr(Listener, "close_connections", ends)
 
     async def check() -> None:
-        async with site(stop_ms=1000) as server:
+        async with running_server(stop_ms=1000) as server:
             router = await server.router()
             message = health_check(1)
             router.writer.write(message[:-5])
@@ -310,15 +310,15 @@
             await ending.wait()
             router.writer.write(message[-5:])
             assert "result" in await router.answer(1)
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
 
-    play(check)
+    run_async(check)
 
 
 def test_what_comes_after_this_sides_end_is_never_run_and_the_process_ends() -> None:
     async def check() -> None:
-        async with site(stop_ms=2000) as server:
+        async with running_server(stop_ms=2000) as server:
             router = await server.router()
             router.writer.write(health_check(1))
             await router.answer(1)
@@ -326,17 +326,17 @@
             server.app.request_drain()
             await until(lambda: connection.state is ConnectionState.CLOSING)
             router.request(2)
-            await until(server.running.done)
+            await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
             assert not server.agent.launched
             assert not router.of(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_the_backlog_is_taken_at_the_end_even_with_all_descriptors_in_use() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             idle = await server.router()
             idle.writer.write(health_check(1))
             await idle.answer(1)
@@ -352,7 +352,7 @@
             assert "result" in await waiting.answer(2)
             await until(lambda: idle.ended)
 
-    play(check)
+    run_async(check)
 
 
 class FullOnce:
@@ -374,18 +374,18 @@
 
 def test_an_answer_that_nobody_takes_is_held_no_longer_than_anybody_waits() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             await server.router()
             connection = await the_connection(server)
             longest = max(settings.deadline for settings in server.app.config.settings.classes)
             assert connection.unread_answer_timeout == longest > 0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_that_takes_no_answers_is_dropped_in_time_and_the_others_are_served() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             slow = await server.router()
             slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
             connection = await the_connection(server)
@@ -398,13 +398,13 @@
             other.writer.write(health_check(1))
             assert "result" in await other.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_dial_to_the_agent_that_hangs_is_given_up_and_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
         monkeypatch.setattr(agents, "CONNECT_TIMEOUT", 0.2)
-        async with site() as server:
+        async with running_server() as server:
             with hanging() as (listening, fillers):
                 link = server.app.peers.agent
                 linked = link.stream
@@ -417,7 +417,7 @@
                 listening.setblocking(False)
                 await until(lambda: accepted(listening))
 
-    play(check)
+    run_async(check)
 
 
 @contextlib.contextmanager
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -10,7 +10,7 @@
 from shelfhaven.lab import platform as peers
 from shelfhaven.lab.callers import until
 from shelfhaven.program.app import Phase
-from tests.peers import play, site
+from tests.peers import run_async, running_server
 
 
 async def agent_at_new_address(original: peers.Agent) -> peers.Agent:
@@ -25,7 +25,7 @@
 
 def test_runs_and_notice_numbers_continue_at_the_new_address_of_the_agent() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             first = await server.router()
             first.request(1)
             await first.answer(1)
@@ -43,12 +43,12 @@
             assert [id_ for id_, *_ in new.launched].count(f"{2:016x}") == 1
             new.stop()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_command_issued_while_the_address_of_the_agent_changes_is_executed_once() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             new = await agent_at_new_address(server.agent)
             server.rewrite_config(agent=f"127.0.0.1:{new.port}")
@@ -58,12 +58,12 @@
             assert len(server.agent.launched) + len(new.launched) == 1
             new.stop()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_in_progress_completes_at_the_old_ledger_and_the_next_goes_to_the_new_one() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.ledger.reply = None
             router, attempt_id = await server.running_request()
             server.agent.notice(f"request # {attempt_id}", b"call body")
@@ -85,12 +85,12 @@
             assert [body for _, body in server.ledger.calls] == [b"call body"]
             assert [body for _, body in new.calls] == [b"second"]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_not_yet_sent_goes_to_the_new_ledger() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             _, attempt_id = await server.running_request()
             new = peers.Ledger()
             await new.start()
@@ -105,7 +105,7 @@
             assert len(new.calls) == 1
             assert not server.ledger.calls
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -121,7 +121,7 @@
     text: bytes | None, key: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             lines: list[tuple[str, dict[str, object]]] = []
             monkeypatch.setattr(server.app.log, "event", lambda event, **more: lines.append((event, more)))
             if text is None:
@@ -137,12 +137,12 @@
             router.request(1)
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_several_reloads_in_a_row_and_one_while_draining() -> None:
     async def check() -> None:
-        async with site(stop_ms=1500) as server:
+        async with running_server(stop_ms=1500) as server:
             router, attempt_id = await server.running_request()
             agents = [await agent_at_new_address(server.agent) for _ in range(3)]
             for new in agents[:2]:
@@ -158,16 +158,16 @@
             agents[2].passed(attempt_id)
             assert "result" in await router.answer(1)
             assert len(router.of(1)) == 1
-            await until(server.running.done)
+            await until(server.app_task.done)
             for new in agents:
                 new.stop()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_new_address_of_the_agent_ends_the_wait_before_reconnecting() -> None:
     async def check() -> None:
-        async with site(agent_up=False) as server:
+        async with running_server(agent_up=False) as server:
             waits: list[float] = []
             back_off = server.app.peers.agent._back_off
 
@@ -184,4 +184,4 @@
             await until(lambda: server.app.peers.agent.up)
             new.stop()
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -20,26 +20,26 @@
 from shelfhaven.protocol import agent as wire
 from shelfhaven.protocol import jsonrpc
 from shelfhaven.server.log import Log
-from tests.peers import NULL, Site, play, site
+from tests.peers import NULL, ServerUnderTest, run_async, running_server
 
 RESULT_BODY = base64.b64encode(b"made for " + f"{1:016x}".encode()).decode()
 
 
 def test_the_agent_runs_a_request_and_the_router_gets_the_result() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             attempt_id = router.request(1)
             answer = await router.answer(1)
             assert answer["result"]["body"] == RESULT_BODY
             assert server.agent.launched == [(attempt_id, "look", b"ask")]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_that_arrives_byte_by_byte_is_read() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             chunks: list[bytes] = []
             write, router.writer.write = router.writer.write, chunks.append  # type: ignore
@@ -49,12 +49,12 @@
                 await router.writer.drain()
             assert (await router.answer(1))["result"]["body"] == RESULT_BODY
 
-    play(check)
+    run_async(check)
 
 
 def test_health_checks_are_answered_before_the_agent_is_up_and_requests_once_it_is() -> None:
     async def check() -> None:
-        async with site(agent_up=False) as server:
+        async with running_server(agent_up=False) as server:
             router = await server.router()
             router.send({"jsonrpc": "2.0", "id": 5, "method": "alive"})
             assert (await router.answer(5))["result"]["green"] is True
@@ -62,17 +62,17 @@
             await server.agent.start()
             assert (await router.answer(1))["result"]["body"] == RESULT_BODY
 
-    play(check)
+    run_async(check)
 
 
 def test_the_membership_service_is_told_of_a_drain() -> None:
     async def check() -> None:
-        async with site(stop_ms=600) as server:
+        async with running_server(stop_ms=600) as server:
             await until(lambda: b"HB n3 UP" in server.members.reports())
             server.app.request_drain()
             await until(lambda: b"HB n3 OUT" in server.members.reports())
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
 )
 def test_an_invalid_message_closes_its_connection_after_the_outstanding_answers(invalid: bytes) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             other = await server.router()
             router.send(invalid)
@@ -101,12 +101,12 @@
             assert router.got[0]["error"]["code"] == jsonrpc.PARSE_ERROR
             assert not other.ended
 
-    play(check)
+    run_async(check)
 
 
 def test_invalid_requests_get_json_rpc_error_codes_and_the_connection_stays_open() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.request(1, "unheard-of")
             router.request(2, heap=-1)
@@ -124,12 +124,12 @@
             ]
             assert "result" in await router.answer(6)
 
-    play(check)
+    run_async(check)
 
 
 def test_requests_beyond_32_open_ones_are_rejected() -> None:
     async def check() -> None:
-        async with site(domain={"cores": 40, "memory-kb": 1e6}) as server:
+        async with running_server(domain={"cores": 40, "memory-kb": 1e6}) as server:
             server.agent.on_launch = server.agent.keep_running
             router = await server.router()
             for number in range(1, 34):
@@ -140,12 +140,12 @@
             for number in range(1, 33):
                 assert "result" in await router.answer(number)
 
-    play(check)
+    run_async(check)
 
 
 def test_requests_of_a_closed_connection_are_released() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             await router.close()
             server.agent.passed(attempt_id)
@@ -155,12 +155,12 @@
             again.request(2)
             assert "result" in await again.answer(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_cancelled_request_is_answered_once_even_if_its_run_completes() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 1}})
             router.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
@@ -169,7 +169,7 @@
             await until(lambda: not server.app.core.requests)
             assert [answer["error"]["code"] for answer in router.of(1)] == [jsonrpc.CANCELLED]
 
-    play(check)
+    run_async(check)
 
 
 # The connection to the agent
@@ -177,7 +177,7 @@
 
 def test_after_a_reconnect_to_the_agent_nothing_is_run_or_read_twice() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.agent.on_launch = server.agent.keep_running
             router = await server.router()
             first, second = router.request(1), router.request(2)
@@ -198,12 +198,12 @@
             await until(lambda: server.app.peers.agent.up)
             assert len(server.agent.launched) == 3
 
-    play(check)
+    run_async(check)
 
 
 def test_commands_issued_while_disconnected_are_sent_after_the_reconnect() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             server.agent.stop()
             await until(lambda: not server.app.peers.agent.up)
@@ -213,12 +213,12 @@
             assert (await router.answer(1))["result"]["body"] == RESULT_BODY
             assert len(server.agent.launched) == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_refused_launch_is_answered_whichever_connection_it_was_sent_on() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, first = await server.running_request()
             server.agent.stop()
             await until(lambda: not server.app.peers.agent.up)
@@ -232,12 +232,12 @@
             assert not server.app.peers.agent.pending
             assert not server.app.core.requests
 
-    play(check)
+    run_async(check)
 
 
 def test_a_reply_that_is_refused_when_resent_was_accepted_the_first_time() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             server.agent.passed, pass_run = lambda _: None, server.agent.passed  # type: ignore
             server.agent.notice(f"request # {attempt_id}", b"ask")
@@ -256,14 +256,14 @@
             pass_run(attempt_id)
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_greeting_that_is_read_late_is_not_taken_for_a_restarted_agent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             server.agent.started_at = time.monotonic() - 0.001  # the first greeting came just after its start
             server.app.peers.agent.first_greeted_at = time.monotonic()
@@ -280,12 +280,12 @@
             server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_run_that_failed_by_a_malformed_notice_is_not_launched_again() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             server.agent.send(f"outcome 1 {attempt_id} PASS\r\n".encode())
             assert "error" in await router.answer(1)
@@ -295,12 +295,12 @@
             await until(lambda: len(server.agent.launched) == 2)
             assert [id_ for id_, _, _ in server.agent.launched] == [attempt_id, f"{2:016x}"]
 
-    play(check)
+    run_async(check)
 
 
 def test_replayed_notices_are_ignored() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             request_call_on_launch(server)
             router = await server.router()
             pass_run = server.agent.passed
@@ -314,12 +314,12 @@
             assert "result" in await router.answer(1)
             assert len(server.ledger.calls) == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_malformed_lines_and_an_invalid_length_do_not_stop_the_server() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             server.agent.send(b"what is this\r\n")
             server.agent.send(f"outcome 1 {attempt_id} PASS\r\n".encode())
@@ -330,12 +330,12 @@
             router.request(2)
             assert "result" in await router.answer(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_runs_of_a_restarted_agent_have_failed() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, _ = await server.running_request()
             # to the server, the agent has started a minute after its first greeting
             server.app.peers.agent.first_greeted_at -= 60
@@ -350,13 +350,13 @@
             router.request(2)
             assert "result" in await router.answer(2)
 
-    play(check)
+    run_async(check)
 
 
 # The ledger
 
 
-def request_call_on_launch(server: Site) -> None:
+def request_call_on_launch(server: ServerUnderTest) -> None:
     """Have the agent request a downstream call for each launch."""
     agent = server.agent
     agent.on_launch = lambda id_: agent.notice(f"request # {id_}", b"call of " + id_.encode())
@@ -369,7 +369,7 @@
     monkeypatch.setattr(ledger, "MIN_IDLE_TIME", min_idle_time)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             request_call_on_launch(server)
             router = await server.router()
             for number in (1, 2):
@@ -379,7 +379,7 @@
                 assert server.agent.delivered[-1] == (attempt_id, b"done")
             assert server.ledger.connections == connection_count
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -395,7 +395,7 @@
 )
 def test_a_call_that_may_have_run_is_not_retried(reply: bytes, cut_after: int | None) -> None:
     async def check() -> None:
-        async with site(domain={"class-skip-worth": [0, 0]}) as server:
+        async with running_server(domain={"class-skip-worth": [0, 0]}) as server:
             request_call_on_launch(server)
             server.ledger.reply, server.ledger.cut_after = reply, cut_after
             router = await server.router()
@@ -403,13 +403,13 @@
             assert (await router.answer(1))["error"]["code"] == jsonrpc.FAILED
             assert len(server.ledger.calls) == 1
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("status", [b"503", b"409"])
 def test_a_call_that_never_ran_is_retried(status: bytes) -> None:
     async def check() -> None:
-        async with site(domain={"class-skip-worth": [0, 0]}) as server:
+        async with running_server(domain={"class-skip-worth": [0, 0]}) as server:
             request_call_on_launch(server)
             success = server.ledger.reply
             server.ledger.reply = b"HTTP/1.1 %b No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n" % status
@@ -420,12 +420,12 @@
             assert "result" in await router.answer(1)
             assert len(server.ledger.calls) == 2
 
-    play(check)
+    run_async(check)
 
 
 def test_the_call_of_a_killed_run_is_abandoned_by_closing_its_connection() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             request_call_on_launch(server)
             server.ledger.reply = None
             router = await server.router()
@@ -435,13 +435,13 @@
             assert "error" in await router.answer(1)
             await until(lambda: server.ledger.closed == 1)
 
-    play(check)
+    run_async(check)
 
 
 def test_calls_wait_when_all_outbound_connections_are_in_use() -> None:
     async def check() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 28}
-        async with site(limits=limits, domain={"cores": 6, "memory-kb": 1e6}) as server:
+        async with running_server(limits=limits, domain={"cores": 6, "memory-kb": 1e6}) as server:
             # routers hold the descriptors that calls could borrow
             idle_routers = [await server.router() for _ in range(3)]
             server.app.peers.ledger.descriptors.capacity = 5
@@ -459,7 +459,7 @@
             assert max(connection_counts) <= 2
             assert not any(other.ended for other in idle_routers), "a connection of a router was closed"
 
-    play(check)
+    run_async(check)
 
 
 # Drain and shutdown
@@ -475,7 +475,7 @@
 
 def test_a_drain_answers_all_requests_announces_the_shutdown_and_ends() -> None:
     async def check() -> None:
-        async with site(stop_ms=1500) as server:
+        async with running_server(stop_ms=1500) as server:
             router, attempt_id = await server.running_request()
             os.kill(os.getpid(), signal.SIGTERM)
             await until(router.received_shutdown)
@@ -488,9 +488,9 @@
             server.agent.passed(f"{2:016x}")
             assert "result" in await router.answer(2)
             assert "error" in await late.answer(3)
-            await until(server.running.done)
+            await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
-            assert server.running.exception() is None
+            assert server.app_task.exception() is None
             assert [len(each.of(number)) for each, number in ((router, 1), (router, 2), (late, 3))] == [
                 1,
                 1,
@@ -499,12 +499,12 @@
             with pytest.raises(ConnectionRefusedError):
                 await server.router()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connection_in_the_backlog_is_accepted_before_the_listener_closes() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.app.listener._stop_accepting()
             waiting = await server.router()
             assert not server.app.listener.connections
@@ -512,12 +512,12 @@
             waiting.request(1)
             assert "result" in await waiting.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_the_shutdown_is_announced_to_idle_connections_but_not_to_health_checks() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.agent.on_launch = server.agent.keep_running
             busy, idle, checks = [await server.router() for _ in range(3)]
             busy.request(1)
@@ -532,12 +532,12 @@
             assert not busy.received_shutdown()
             assert not checks.received_shutdown()
 
-    play(check)
+    run_async(check)
 
 
 def test_connections_beyond_the_descriptor_limit_wait_in_the_backlog() -> None:
     async def check() -> None:
-        async with site(limits={"cores": 1.0, "memory_mb": 192, "sockets": 20}) as server:
+        async with running_server(limits={"cores": 1.0, "memory_mb": 192, "sockets": 20}) as server:
             max_inbound = server.app.listener.descriptors.max_inbound
             routers = [await server.router() for _ in range(max_inbound + 1)]
             await until(lambda: len(server.app.listener.connections) == max_inbound)
@@ -545,12 +545,12 @@
             await routers[0].close()
             assert "result" in await routers[-1].answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_runs_continue_after_a_reconnect_to_the_same_agent() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.agent.on_launch = server.agent.keep_running
             server.agent.started_at -= 3600
             router = await server.router()
@@ -561,12 +561,12 @@
             server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_start_waits_while_the_address_is_in_use() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             listen = server.app.config.listen
             assert listen
             again = App(server.app.files, Log("second", NULL))
@@ -579,12 +579,12 @@
             assert again.listener.socket.getsockname() == (listen.host, listen.port)
             again.listener.stop_listening()
 
-    play(check)
+    run_async(check)
 
 
 def test_the_backoff_grows_while_connections_break_during_the_replay() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             broken = b"outcome 1 x PASS 1 -5\r\n"
             server.agent.notices.append(broken)
             server.agent.send(broken)
@@ -600,7 +600,7 @@
             assert pauses[1:8] == sorted(pauses[1:8])
             assert pauses[7] == MAX_BACKOFF
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("ending", ["closed by the router", "aborted", "invalid data"])
@@ -611,7 +611,7 @@
     """
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.request(1)
             await router.answer(1)
@@ -629,7 +629,7 @@
             finally:
                 gc.enable()
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("when", ["after the replay", "after the greeting"])
@@ -639,7 +639,7 @@
     monkeypatch.setattr(agent_actor, "SAMPLE_TIMEOUT", 0.1)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             server.agent.silent = when == "after the replay"
             if when == "after the greeting":
@@ -663,4 +663,4 @@
                 server.agent.subscribed
             )
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -16,7 +16,7 @@
 from shelfhaven.lab.callers import until
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.protocol import jsonrpc
-from tests.peers import play, site
+from tests.peers import run_async, running_server
 from tests.test_config import CONFIG
 
 
@@ -64,12 +64,12 @@
                 process.kill()
             agent.stop()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_reload_and_two_sigterm_at_once_leave_no_request_unanswered() -> None:
     async def check() -> None:
-        async with site(stop_ms=1500) as server:
+        async with running_server(stop_ms=1500) as server:
             router, attempt_id = await server.running_request()
             new_members = platform.Members()
             server.rewrite_config(members=f"127.0.0.1:{new_members.port}")
@@ -79,8 +79,8 @@
             await until(lambda: b"HB n3 OUT" in new_members.reports())
             server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
             assert jsonrpc.FAILED not in [message.get("error", {}).get("code") for message in router.got]
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_status_reporter.py
+++ b/tests/server/test_status_reporter.py
@@ -10,7 +10,7 @@
 from shelfhaven.server import status_reporter
 from shelfhaven.server.log import Log
 from shelfhaven.server.status_reporter import StatusReporter
-from tests.peers import NULL, play
+from tests.peers import NULL, run_async
 
 
 def test_servers_that_start_together_spread_their_reports() -> None:
@@ -34,4 +34,4 @@
             sorted_times[30] - sorted_times[9] >= 0.25 * status_reporter.REPORT_INTERVAL
         ), "the reports bunch together"
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_unknown_clients.py
+++ b/tests/server/test_unknown_clients.py
@@ -10,7 +10,7 @@
 from shelfhaven.frontends.connection import Connection
 from shelfhaven.lab.callers import until
 from shelfhaven.protocol import jsonrpc
-from tests.peers import play, site
+from tests.peers import run_async, running_server
 
 
 def test_a_connection_without_a_message_is_closed_after_the_timeout_and_one_that_sent_a_request_is_not(
@@ -20,14 +20,14 @@
     monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             silent, idle_router = await server.router(), await server.router()
             idle_router.request(1)
             await idle_router.answer(1)
             await until(lambda: silent.ended)
             assert not idle_router.ended
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connection_that_stalls_within_a_message_is_closed_after_its_outstanding_answers(
@@ -37,7 +37,7 @@
     monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.writer.write(b"Content-Length: 500\r\n\r\n{")
             await until(lambda: router.got)
@@ -47,12 +47,12 @@
             assert "result" in await router.answer(1)
             await until(lambda: router.ended)
 
-    play(check)
+    run_async(check)
 
 
 def test_unused_connections_are_closed_for_new_ones_at_the_connection_limit() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 40}) as server:
+        async with running_server(limits={"sockets": 40}) as server:
             server.agent.on_launch = server.agent.keep_running
             busy = await server.router()
             attempt_id = busy.request(1)
@@ -73,12 +73,12 @@
             server.agent.passed(attempt_id)
             assert "result" in await busy.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connection_with_an_open_request_is_never_closed_for_a_new_one() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             server.agent.on_launch = server.agent.keep_running
             busy_routers = [await server.router() for _ in range(3)]
             attempt_ids = [
@@ -95,12 +95,12 @@
                 assert "result" in await busy_router.answer(1)
             assert "result" in await waiting.answer(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_many_cancelled_requests_are_each_answered_once_and_a_running_one_continues() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             for number in range(2, 300):
                 router.request(number)
@@ -112,13 +112,13 @@
             assert sorted(message["id"] for message in router.got) == list(range(1, 300))
             await until(lambda: len(server.app.core.requests.unanswered) == 0)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("recv", [1.0, 4e15])
 def test_an_implausible_arrival_time_is_rejected_and_does_not_affect_the_lag(recv: float) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.request(1, recv=recv)
             assert (await router.answer(1))["error"]["code"] == jsonrpc.INVALID_PARAMS
@@ -126,12 +126,12 @@
             router.request(2)
             assert "result" in await router.answer(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_an_attempt_id_that_is_in_use_is_rejected() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             stranger = await server.router()
             stranger.request(1, call=attempt_id)
@@ -140,7 +140,7 @@
             assert "result" in await router.answer(1)
             assert len(stranger.of(1)) == 1
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("bytewise", [False, True])
 def test_a_connection_that_sends_invalid_data_is_closed(data: bytes, bytewise: bool) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             stranger = await server.router()
             for piece in (
                 [data[number : number + 1] for number in range(min(len(data), 1100))] if bytewise else [data]
@@ -169,12 +169,12 @@
             router.request(1)
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connection_that_sends_a_60_mb_body_is_closed_before_its_end() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             stranger = await server.router()
             stranger.writer.write(b"Content-Length: 60000000\r\n\r\n")
             with contextlib.suppress(ConnectionError):
@@ -183,4 +183,4 @@
                     await stranger.writer.drain()
             await until(lambda: stranger.ended)
 
-    play(check)
+    run_async(check)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,7 +17,7 @@
 from shelfhaven.lab.callers import Router, until
 from shelfhaven.lab.platform import Agent, Ledger, Members
 from shelfhaven.lab.ports import reserved_port
-from tests.peers import play
+from tests.peers import run_async
 from tests.test_config import CONFIG
 
 ROOT = Path(__file__).parent.parent
@@ -104,4 +104,4 @@
                 process.kill()
                 await process.wait()
 
-    play(check)
+    run_async(check)
