--- a/shelfhaven/server/answer_sender.py
+++ b/shelfhaven/server/answer_sender.py
@@ -13,7 +13,7 @@
 from shelfhaven.server.clocks import Clocks
 from shelfhaven.server.request import Request
 from shelfhaven.server.request_table import RequestTable
-from shelfhaven.server.timers import GAUGES_WAIT
+from shelfhaven.server.timers import MAX_GAUGES_WAIT
 
 
 class AnswerSender:
@@ -44,7 +44,7 @@
     def fail(self, request: Request, text: str) -> None:
         """Answer with an error; the request may or may not have had its effect."""
         time_left = request.time_left(self.clocks.wall())
-        deadline_passed = time_left <= self.controller.answer_margin + GAUGES_WAIT
+        deadline_passed = time_left <= self.controller.answer_margin + MAX_GAUGES_WAIT
         answer = messages.FailedAnswer(
             request.submission.request_ref, text, self.advertised_load, deadline_passed=deadline_passed
         )
--- a/shelfhaven/server/core.py
+++ b/shelfhaven/server/core.py
@@ -39,7 +39,7 @@
 from shelfhaven.server.request_completion import RequestCompletion
 from shelfhaven.server.request_table import RequestTable
 from shelfhaven.server.run_launcher import RunLauncher
-from shelfhaven.server.timers import GAUGES_WAIT, Timers
+from shelfhaven.server.timers import MAX_GAUGES_WAIT, Timers
 
 INTERNAL_ERROR_TEXT = "an error in this server"
 TIMER_RETRY_DELAY = 0.1  # seconds until a timer fires again after the controller raised an exception on it
@@ -64,8 +64,8 @@
         self.config = config
         self.log = log
         self.clocks = Clocks(clock, wall)
-        # The controller derives its margins from the tick; due timers wait up to `GAUGES_WAIT` for gauges.
-        settings = replace(config.settings, tick=max(config.settings.tick, GAUGES_WAIT))
+        # The controller derives its margins from the tick; due timers wait up to that long for gauges.
+        settings = replace(config.settings, tick=max(config.settings.tick, MAX_GAUGES_WAIT))
         self.controller = Controller(settings, config.seed)
         self.mailbox: Mailbox[messages.CoreMessage] = Mailbox(self._handle, log)
         self.pending_events: deque[Event] = deque()
--- a/tests/membership/test_peer_rpc.py
+++ b/tests/membership/test_peer_rpc.py
@@ -16,7 +16,7 @@
 from shelfhaven.membership.peer_rpc import MAX_ANSWER_BUDGET, MIN_RETRY_AFTER_S, PeerRpc, PeerRpcError
 from shelfhaven.membership.snapshot_codec import PeerAnswer
 from shelfhaven.server.log import Log
-from tests.peers import NULL, play
+from tests.peers import NULL, run_async
 
 SECRET = b"a secret of a fleet"
 SNAPSHOT = ListSnapshot(ListVersion(0, 7, "s"), 1.0, {"nodes/z/n1": Endpoint("a1", 7)})
@@ -56,7 +56,7 @@
             assert polled.polls == [("a9", since, True)]
             assert polled.rpc.answered == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_requests_are_compatible_with_nodes_of_earlier_versions(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -79,7 +79,7 @@
         assert (poll.value.retry_after, post.value.retry_after) == (1.5, 1.5)
         await rpc.end()
 
-    play(check)
+    run_async(check)
     poll_head, post_head = heads
     assert poll_head.startswith(
         b"GET /list?era=1&revision=5&store=s+t&from=a9&whole=0&servers=1 HTTP/1.1\r\n"
@@ -101,7 +101,7 @@
             assert failure.value.retry_after is None
             assert polled.polls == []
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
@@ -115,7 +115,7 @@
             writer.close()
             assert polled.polls == []
 
-    play(check)
+    run_async(check)
 
 
 def test_an_answer_with_a_non_ascii_digest_is_rejected() -> None:
@@ -132,7 +132,7 @@
                 await rpc.poll(peer, "a9", ListVersion(), False)
         await rpc.end()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_peer_without_budget_returns_a_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -147,7 +147,7 @@
             assert failure.value.retry_after >= MIN_RETRY_AFTER_S
             assert polled.rpc.rejected == 1
 
-    play(check)
+    run_async(check)
 
 
 def test_a_poll_of_a_closed_port_is_reported_as_not_sent() -> None:
@@ -157,4 +157,4 @@
                 await polling.rpc.poll(f"127.0.0.1:{reserved_port()}", "a9", ListVersion(), False)
             assert not failure.value.sent
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_downstream_calls.py
+++ b/tests/server/test_downstream_calls.py
@@ -20,7 +20,7 @@
 from shelfhaven.server import messages
 from shelfhaven.server.descriptors import Descriptors
 from shelfhaven.server.log import Log
-from tests.peers import NULL, Site, play, site
+from tests.peers import NULL, ServerUnderTest, run_async, running_server
 
 
 def attempt_id_of(request_id: int) -> str:
@@ -57,9 +57,9 @@
 
 
 @contextlib.asynccontextmanager
-async def site_with_calls() -> AsyncIterator[tuple[Site, Router]]:
+async def site_with_calls() -> AsyncIterator[tuple[ServerUnderTest, Router]]:
     """Yield a router and a server on which every run makes a downstream call."""
-    async with site() as server:
+    async with running_server() as server:
         server.agent.on_launch = server.agent.call_downstream
         yield server, await server.router()
 
@@ -74,7 +74,7 @@
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
             assert await harness.first_completions() == [expected]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_that_times_out_may_have_run() -> None:
@@ -86,7 +86,7 @@
             assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.TIMEOUT)]
             await until(lambda: service.closed)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_that_gets_no_connection_before_its_timeout_never_ran() -> None:
@@ -105,7 +105,7 @@
             assert [attempt for attempt, _ in service.calls] == [attempt_id_of(1), attempt_id_of(3)]
             assert harness.completed == expected
 
-    play(check)
+    run_async(check)
 
 
 def test_a_refused_connection_proves_that_no_call_ran() -> None:
@@ -114,7 +114,7 @@
         harness.place(1, timeout=5.0)
         assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
-    play(check)
+    run_async(check)
 
 
 def test_without_a_ledger_address_every_call_fails_as_unconnected() -> None:
@@ -123,7 +123,7 @@
         harness.place(1, timeout=5.0)
         assert await harness.first_completions() == [messages.CallCompleted(1, Outcome.CONNECT_FAILED)]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_call_waits_if_no_socket_can_be_opened(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -141,7 +141,7 @@
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
             assert await harness.first_completions() == [expected]
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
             assert [body for _, body in server.agent.delivered] == [b"good", b"other"]
             assert server.ledger.connections == (1 if is_reused else 2)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("late_bytes", [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood", b"noise", b""])
@@ -189,7 +189,7 @@
                     await until(lambda: not server.app.peers.ledger.connections)
             assert [body for _, body in server.agent.delivered] == [b"done"] * 4
 
-    play(check)
+    run_async(check)
 
 
 def test_closing_a_connection_on_this_side_does_not_end_the_reuse_of_others(
@@ -210,7 +210,7 @@
             assert server.ledger.connections == 1
             assert server.app.peers.ledger.reusable_from == 0.0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_waiting_call_gets_the_descriptor_of_an_idle_connection(
@@ -227,4 +227,4 @@
                 assert "result" in await router.answer(number)
             assert server.ledger.connections == 3
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_interleavings.py
+++ b/tests/server/test_interleavings.py
@@ -20,7 +20,7 @@
 from shelfhaven.frontends.connection import Connection
 from shelfhaven.lab.callers import Router, until
 from shelfhaven.program.app import Phase
-from tests.peers import Site, play, site
+from tests.peers import ServerUnderTest, run_async, running_server
 
 STEPS = 60
 MAX_ROUTERS = 6
@@ -59,7 +59,7 @@
         runs: attempt ids of the runs that the agent has not finished.
     """
 
-    def __init__(self, server: Site, seed: int) -> None:
+    def __init__(self, server: ServerUnderTest, seed: int) -> None:
         self.site, self.random = server, random.Random(seed)
         self.connections: list[RouterConnection] = []
         self.last_id = 0
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_the_invariants_hold_for_random_interleavings(seed: int) -> None:
     async def check() -> None:
-        async with site(stop_ms=900) as server:
+        async with running_server(stop_ms=900) as server:
             sequence = RandomSequence(server, seed)
             drain_step = sequence.random.randrange(STEPS // 2, STEPS)
             for step in range(STEPS):
@@ -193,10 +193,10 @@
             server.agent.on_launch = server.agent.passed
             for attempt_id in sequence.runs:
                 server.agent.passed(attempt_id)
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
             for connection in sequence.connections:
                 await connection.router.task
             sequence.check()
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_peer_faults.py
+++ b/tests/server/test_peer_faults.py
@@ -21,13 +21,13 @@
 from shelfhaven.program.app import Phase
 from shelfhaven.protocol import jsonrpc
 from shelfhaven.server import messages
-from tests.peers import play, site
+from tests.peers import run_async, running_server
 from tests.test_config import CONFIG
 
 
 def test_after_a_stall_of_the_loop_waiting_messages_are_read_before_timeouts_count() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.agent.on_launch = server.agent.keep_running
             router = await server.router()
             attempt_id = router.request(1, "pay", dedupe="k")
@@ -36,12 +36,12 @@
             time.sleep(1.1)  # stalls the event loop beyond the request's due time
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_an_exception_while_reading_ends_only_its_own_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             other = await server.router()
             real_decode = jsonrpc.decode
@@ -62,12 +62,12 @@
             await until(lambda: router.ended)
             assert not other.ended
 
-    play(check)
+    run_async(check)
 
 
 def test_the_server_stops_reading_from_a_router_that_reads_no_answers() -> None:
     async def check() -> None:
-        async with site(domain={"cores": 40, "memory-kb": 1e6}) as server:
+        async with running_server(domain={"cores": 40, "memory-kb": 1e6}) as server:
             address = server.app.config.listen
             assert address
             client = socket.socket()
@@ -94,25 +94,25 @@
             await router.answer(1)
             client.close()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_second_drain_request_changes_nothing() -> None:
     async def check() -> None:
-        async with site(stop_ms=300) as server:
+        async with running_server(stop_ms=300) as server:
             server.app.request_drain()
             stop_at = server.app.stop_at
             server.app.request_drain()
             assert server.app.stop_at == stop_at
-            await until(server.running.done)
+            await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
 
-    play(check)
+    run_async(check)
 
 
 def test_requests_are_served_while_the_membership_service_is_down() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             server.members.socket.close()
             for _ in range(3):  # the second report gets the error of the first
                 server.app.peers.members._report()
@@ -124,32 +124,32 @@
             assert server.app.peers.members.timer is not None
             assert not server.app.peers.members.timer.cancelled()
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_that_stalls_within_a_message_delays_neither_others_nor_the_drain() -> None:
     async def check() -> None:
-        async with site(stop_ms=600) as server:
+        async with running_server(stop_ms=600) as server:
             stalled, router = await server.router(), await server.router()
             stalled.writer.write(b"Content-Length: 400\r\n\r\n{")
             router.request(1)
             assert "result" in await router.answer(1)
             server.app.request_drain()
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
             await until(lambda: stalled.ended)
             assert [message.get("method") for message in stalled.got] == ["shutdown"]
 
-    play(check)
+    run_async(check)
 
 
 def test_no_phase_can_be_skipped() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             with pytest.raises(RuntimeError, match="serving is not followed by ended"):
                 server.app._enter(Phase.ENDED)
 
-    play(check)
+    run_async(check)
 
 
 def test_the_process_serves_by_its_file_reloads_on_sighup_and_drains_on_sigterm(tmp_path: Path) -> None:
@@ -189,4 +189,4 @@
         assert {line["server"] for line in lines} == {"n3"}
         agent.stop()
 
-    play(check)
+    run_async(check)
--- a/tests/server/test_races.py
+++ b/tests/server/test_races.py
@@ -26,7 +26,7 @@
 from shelfhaven.lab.callers import until
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.program.app import Phase
-from tests.peers import Site, play, site
+from tests.peers import ServerUnderTest, run_async, running_server
 
 UNFRAMED = b"nonsense\r\n\r\n"  # a header without a Content-Length
 
@@ -51,7 +51,7 @@
     return {"jsonrpc": "2.0", "id": request_ref, "method": "look", "params": params}
 
 
-async def only_connection(server: Site) -> Connection:
+async def only_connection(server: ServerUnderTest) -> Connection:
     """Return the server's connection, once it has exactly one."""
     await until(lambda: len(server.app.listener.connections) == 1)
     return next(iter(server.app.listener.connections))
@@ -62,7 +62,7 @@
 
 def test_a_router_that_has_closed_its_sending_side_still_gets_its_answers() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.request(2)
             await until(lambda: len(server.agent.launched) == 2)
@@ -77,24 +77,24 @@
             assert [len(router.of(ref)) for ref in (1, 2)] == [1, 1]
             assert not server.app.listener.connections
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_that_arrives_with_the_end_of_the_stream_is_answered() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.request(1)
             router.writer.write_eof()
             assert "result" in await router.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize("reset", [False, True])
 def test_a_connection_closed_by_its_router_is_detected_before_the_run_ends(reset: bool) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             if reset:
                 reset_on_close = struct.pack("ii", 1, 0)
@@ -106,7 +106,7 @@
             server.agent.passed(attempt_id)
             await until(lambda: not server.app.core.requests)
 
-    play(check)
+    run_async(check)
 
 
 # Requests read together with malformed messages
@@ -114,14 +114,14 @@
 
 def test_a_request_before_bytes_that_cannot_be_framed_is_answered() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.writer.write(health_check(1) + UNFRAMED)
             await until(lambda: router.ended)
             assert sorted(message["id"] or 0 for message in router.got) == [0, 1]
             assert "result" in router.of(1)[0]
 
-    play(check)
+    run_async(check)
 
 
 @pytest.mark.parametrize(
@@ -131,14 +131,14 @@
 )
 def test_requests_before_and_after_a_malformed_message_are_answered(malformed: bytes) -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router = await server.router()
             router.writer.write(health_check(1) + framed(malformed) + health_check(2))
             await until(lambda: router.ended)
             assert sorted(message["id"] or 0 for message in router.got) == [0, 1, 2]
             assert all("result" in router.of(ref)[0] for ref in (1, 2))
 
-    play(check)
+    run_async(check)
 
 
 # Orderly closes
@@ -146,7 +146,7 @@
 
 def test_closing_with_unread_bytes_does_not_reset_the_connection() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.writer.write(UNFRAMED)
             await until(lambda: router.got)  # the error reply; the server reads no further
@@ -158,14 +158,14 @@
             assert router.reader.exception() is None  # the stream ended without a reset
             assert "result" in router.of(1)[0]
 
-    play(check)
+    run_async(check)
 
 
 def test_a_close_waits_a_bounded_time_for_a_peer_that_does_not_close(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "CLOSE_TIMEOUT_S", 0.1)
 
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             listen = server.app.config.listen
             assert listen
             with socket.create_connection((listen.host, listen.port)) as unclosed:
@@ -176,14 +176,14 @@
                 assert connection.state is ConnectionState.CLOSED
             assert server.app.descriptors.inbound == 0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_closing_connection_is_evicted_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connections, "CLOSE_TIMEOUT_S", 60.0)
 
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             listen = server.app.config.listen
             assert listen
             max_inbound = server.app.descriptors.max_inbound
@@ -204,7 +204,7 @@
                 assert "result" in await newcomer.answer(9)
             assert not any(other.ended for other in others)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_that_crosses_the_eviction_of_its_connection_is_not_run_and_can_be_retried(
@@ -220,7 +220,7 @@
         real_abort(connection)
 
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             listen = server.app.config.listen
             assert listen
             with socket.create_connection((listen.host, listen.port)) as idle:
@@ -241,12 +241,12 @@
                 with contextlib.suppress(ConnectionResetError):
                     assert idle.recv(100) == b"", "no part of an answer was sent"
 
-    play(check)
+    run_async(check)
 
 
 def test_connections_that_have_sent_a_request_are_kept_and_silent_ones_evicted() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             max_inbound = server.app.descriptors.max_inbound
             established = [await server.router() for _ in range(max_inbound // 2)]
             for number, router in enumerate(established):
@@ -272,12 +272,12 @@
                 router.writer.write(health_check(50 + number))
                 assert "result" in await router.answer(50 + number)
 
-    play(check)
+    run_async(check)
 
 
 def test_idle_connections_of_a_caller_with_more_than_its_share_are_evicted() -> None:
     async def check() -> None:
-        async with site(limits={"sockets": 16}) as server:
+        async with running_server(limits={"sockets": 16}) as server:
             established = [await server.router() for _ in range(server.app.descriptors.max_inbound)]
             for number, router in enumerate(established):
                 router.writer.write(health_check(number + 1))
@@ -288,7 +288,7 @@
             newcomer.writer.write(health_check(9))
             assert "result" in await newcomer.answer(9)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_whose_last_byte_arrives_as_connections_are_closed_is_answered(
@@ -304,7 +304,7 @@
     monkeypatch.setattr(Listener, "close_connections", signal_and_close)
 
     async def check() -> None:
-        async with site(stop_ms=1000) as server:
+        async with running_server(stop_ms=1000) as server:
             router = await server.router()
             message = health_check(1)
             router.writer.write(message[:-5])
@@ -314,15 +314,15 @@
             await closing.wait()
             router.writer.write(message[-5:])
             assert "result" in await router.answer(1)
-            await until(server.running.done)
-            assert server.running.exception() is None
+            await until(server.app_task.done)
+            assert server.app_task.exception() is None
 
-    play(check)
+    run_async(check)
 
 
 def test_a_request_after_the_server_closed_its_sending_side_is_not_run_and_the_process_ends() -> None:
     async def check() -> None:
-        async with site(stop_ms=2000) as server:
+        async with running_server(stop_ms=2000) as server:
             router = await server.router()
             router.writer.write(health_check(1))
             await router.answer(1)
@@ -330,17 +330,17 @@
             server.app.request_drain()
             await until(lambda: connection.state is ConnectionState.CLOSING)
             router.request(2)
-            await until(server.running.done)
+            await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
             assert not server.agent.launched
             assert not router.of(2)
 
-    play(check)
+    run_async(check)
 
 
 def test_the_accept_backlog_is_served_at_shutdown_even_with_all_descriptors_in_use() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             idle = await server.router()
             idle.writer.write(health_check(1))
             await idle.answer(1)
@@ -356,7 +356,7 @@
             assert "result" in await waiting.answer(2)
             await until(lambda: idle.ended)
 
-    play(check)
+    run_async(check)
 
 
 class NoDescriptorOnce:
@@ -378,18 +378,18 @@
 
 def test_an_unread_answer_is_kept_as_long_as_the_longest_deadline() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             await server.router()
             connection = await only_connection(server)
             longest_deadline = max(settings.deadline for settings in server.app.config.settings.classes)
             assert connection.unread_answer_timeout == longest_deadline > 0
 
-    play(check)
+    run_async(check)
 
 
 def test_a_router_that_reads_no_answers_is_disconnected_and_others_are_served() -> None:
     async def check() -> None:
-        async with site() as server:
+        async with running_server() as server:
             slow = await server.router()
             slow.writer.transport.pause_reading()  # type: ignore[attr-defined]
             connection = await only_connection(server)
@@ -402,13 +402,13 @@
             other.writer.write(health_check(1))
             assert "result" in await other.answer(1)
 
-    play(check)
+    run_async(check)
 
 
 def test_a_connect_to_the_agent_that_hangs_times_out_and_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
     async def check() -> None:
         monkeypatch.setattr(agents, "CONNECT_TIMEOUT", 0.2)
-        async with site() as server:
+        async with running_server() as server:
             with full_backlog() as (listening_socket, fillers):
                 agent = server.app.peers.agent
                 connected_stream = agent.stream
@@ -421,7 +421,7 @@
                 listening_socket.setblocking(False)
                 await until(lambda: accept_subscriber(listening_socket))
 
-    play(check)
+    run_async(check)
 
 
 @contextlib.contextmanager
