--- a/shelfhaven/membership/agreement/__init__.py
+++ b/shelfhaven/membership/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Import path under which replicated classes are pickled; the code is in `shelfhaven.consensus`."""
+"""Modules under whose names replicated classes are pickled; the classes are in `shelfhaven.consensus`."""
--- a/shelfhaven/membership/agreement/interface.py
+++ b/shelfhaven/membership/agreement/interface.py
@@ -1,4 +1,7 @@
-"""Module path under which pysyncobj's dump files name the entries of the replicated document."""
+"""Module path of the replicated document's entries in pysyncobj's dump files.
+
+The files contain pickled objects, so this path must stay importable.
+"""
 
 from shelfhaven.consensus.store import Entry
 
--- a/shelfhaven/membership/clock.py
+++ b/shelfhaven/membership/clock.py
@@ -1,17 +1,18 @@
-"""The clock that leases are counted by.
+"""Clock for the expiry of leases.
 
-It is never set, and it advances while the process is stopped and, on Linux, while the machine is suspended
-too (CLOCK_BOOTTIME): a lease that ended meanwhile is seen to have ended. Where CLOCK_BOOTTIME is missing, the
-monotonic clock takes its place, which may stand still in a suspended machine: there only fencing protects.
+It cannot be set, and it advances while the process is stopped and, on Linux (CLOCK_BOOTTIME), while the
+machine is suspended, so that a lease that expired in the meantime is recognized as expired. Platforms without
+CLOCK_BOOTTIME use the monotonic clock, which may stop during suspension; there, only fencing protects against
+the use of an expired lease.
 """
 
 from __future__ import annotations
 
 import time
 
-BOOTTIME = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def boottime() -> float:
-    """Seconds since an arbitrary start, with the time of suspension where the system can tell."""
-    return time.clock_gettime(BOOTTIME)
+    """Return the seconds since an arbitrary start; includes suspension where the platform counts it."""
+    return time.clock_gettime(CLOCK_ID)
--- a/shelfhaven/membership/endpoint_registry.py
+++ b/shelfhaven/membership/endpoint_registry.py
@@ -1,7 +1,7 @@
-"""The nodes on an endpoint list: their keys and values, and an index to draw and rank them.
+"""Nodes on an endpoint list: the format of their entries, and an index for drawing and ranking them.
 
-The index holds just the keys of nodes that the list has, so that a random node, and whether a node is among
-the first few by rank, are known without a pass over the list.
+The index contains the keys of the listed nodes. With it, drawing a random node and checking whether a node is
+among the first few by rank do not iterate over the list.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 def address_of(value: str) -> str:
-    """The address at which peers poll a listed node: the first word of its value."""
+    """Return the address at which peers poll a listed node, the first word of the entry's value."""
     return value.partition(" ")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class ListedNode:
-    """A node as the list has it."""
+    """A node as described by its entry on the list."""
 
     name: str
     zone: str
@@ -39,7 +39,7 @@
 
 
 def nodes_of(items: Mapping[str, Endpoint]) -> list[ListedNode]:
-    """The nodes on a list."""
+    """Return the nodes among the entries of a list."""
     nodes = []
     for key, item in items.items():
         if key.startswith(NODES):
@@ -50,12 +50,12 @@
 
 
 class NodeIndex:
-    """Index of the nodes of one list."""
+    """Index of the nodes on one list."""
 
     def __init__(self) -> None:
-        self.keys: list[str] = []  # in no order
-        self.positions: dict[str, int] = {}  # of keys in `keys`
-        self.ranks: list[Rank] = []  # in order
+        self.keys: list[str] = []  # in arbitrary order
+        self.positions: dict[str, int] = {}  # index of each key in `keys`
+        self.ranks: list[Rank] = []  # sorted
 
     def __len__(self) -> int:
         return len(self.keys)
@@ -64,14 +64,14 @@
         return key in self.positions
 
     def add(self, key: str) -> None:
-        """An entry is on the list; keys that are not of nodes are ignored."""
+        """Add the key of a listed entry; keys of entries other than nodes are ignored."""
         if key.startswith(NODES) and key not in self.positions:
             self.positions[key] = len(self.keys)
             self.keys.append(key)
             insort(self.ranks, _watch_rank(key))
 
     def remove(self, key: str) -> None:
-        """An entry is off the list."""
+        """Remove the key of an entry that is no longer listed."""
         position = self.positions.pop(key, None)
         if position is None:
             return
@@ -82,17 +82,17 @@
         del self.ranks[bisect_left(self.ranks, _watch_rank(key))]
 
     def random_address(
-        self, random: Random, items: Mapping[str, Endpoint], first: int | None = None
+        self, random: Random, items: Mapping[str, Endpoint], rank_limit: int | None = None
     ) -> str | None:
-        """The address of a random node: of any, or of the first few by rank."""
+        """Return the address of a random node, drawn from all or from the first `rank_limit` by rank."""
         if not self.keys:
             return None
-        if first:
-            key = self.ranks[random.randrange(min(first, len(self.ranks)))].name
+        if rank_limit:
+            key = self.ranks[random.randrange(min(rank_limit, len(self.ranks)))].name
         else:
             key = self.keys[random.randrange(len(self.keys))]
         return address_of(items[key].value)
 
     def is_among_first(self, key: str, count: int) -> bool:
-        """Whether a node is one of the first few by rank, or would be if it were on the list already."""
+        """Whether a node is among the first `count` by rank, or would be if it were listed."""
         return len(self.ranks) < count or _watch_rank(key) <= self.ranks[count - 1]
--- a/shelfhaven/membership/list_cache.py
+++ b/shelfhaven/membership/list_cache.py
@@ -1,7 +1,8 @@
-"""The endpoint list cached in a file, for a start at which no peer and no list service answers.
+"""Cache file of the endpoint list, for starts at which neither a peer nor the list service answers.
 
-The file is one line with a digest and the time of writing, followed by the JSON of a peer's answer. A file
-that is not complete is not used. Both functions block: callers write from a thread.
+The file has a header line with a digest and the time of writing, followed by the list encoded as a peer's
+answer in JSON. The digest detects incomplete and damaged files, which are not used. Both functions block;
+the actor saves from a thread.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
     return hashlib.blake2b(saved_at + b"\n" + body, digest_size=DIGEST_BYTES).hexdigest().encode()
 
 
-def save(path: Path, snapshot: ListSnapshot, unix: float) -> None:
-    """Write a list atomically; `unix` is the wall clock's time. Raises OSError."""
-    saved_at = b"%.3f" % unix
+def save(path: Path, snapshot: ListSnapshot, unix_time: float) -> None:
+    """Write a list atomically; `unix_time` is the current wall-clock time. Raises OSError."""
+    saved_at = b"%.3f" % unix_time
     body = encode(PeerAnswer(snapshot, False))
     temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
@@ -40,11 +41,14 @@
             temporary.unlink(missing_ok=True)
 
 
-def load(path: Path, unix: float, max_age: float) -> ListSnapshot | None:
-    """The cached list with the age it has by now, or None where there is no file or its list is too old.
+def load(path: Path, unix_time: float, max_age: float) -> ListSnapshot | None:
+    """Load the cached list with its current age; None if there is no file or the list is too old.
 
-    Raises ValueError with what is wrong with a file that is there. If the clock went back since the file was
-    written, its age is unknown: the list then counts as never confirmed, and still as a place to begin.
+    If the wall clock went back since the file was written, the age is unknown: the list is still returned,
+    for the peers that it names, but counts as never confirmed.
+
+    Raises:
+        ValueError: the file cannot be read, is damaged or has another format.
     """
     try:
         with path.open("rb") as file:
@@ -54,14 +58,14 @@
     except OSError as error:
         raise ValueError(error.strerror or "cannot be read") from None
     header, _, body = data.partition(b"\n")
-    words = header.split(b" ")
-    if len(data) > MAX_FILE_BYTES or len(words) != 3 or words[0] != MAGIC:
-        raise ValueError("not a kept list of this form")
-    _, digest, saved_at = words
+    header_fields = header.split(b" ")
+    if len(data) > MAX_FILE_BYTES or len(header_fields) != 3 or header_fields[0] != MAGIC:
+        raise ValueError("not a cached endpoint list, or its format is not supported")
+    _, digest, saved_at = header_fields
     if _digest(saved_at, body) != digest:
-        raise ValueError("damaged")
+        raise ValueError("the digest does not match: the file is damaged or incomplete")
     snapshot = decode(body).snapshot
-    elapsed = unix - float(saved_at)
+    elapsed = unix_time - float(saved_at)
     age = snapshot.age + elapsed if elapsed >= 0 else math.inf
     if math.isfinite(age) and age > max_age:
         return None
--- a/shelfhaven/membership/list_version.py
+++ b/shelfhaven/membership/list_version.py
@@ -1,4 +1,4 @@
-"""Values of the endpoint list: its entries, its version, and snapshots that nodes send each other."""
+"""Value types of the endpoint list: entries, versions, and the snapshots that nodes exchange."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 class Endpoint:
     """One entry of the list."""
 
-    value: str  # as the list service has it
-    revision: int  # of the list service's store, at which the entry got this value
+    value: str  # as stored by the list service
+    revision: int  # of the list service's store at which the entry was given this value
 
 
 class VersionOrder(NamedTuple):
-    """What tells newer lists from older ones; the larger is the newer."""
+    """Sort key of list versions; the larger one is newer."""
 
     era: int
     revision: int
@@ -25,20 +25,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """How new a list is; ordered by era, then by revision, then by whether it is complete.
+    """Version of a list, ordered by era, then revision, then completeness.
 
-    Lists of one version are the same. A list that still has entries which the service has no more at that
-    revision is not `complete`, and older than one that is.
+    Lists of the same version are equal. A list is not `complete` if it still has entries that the list
+    service has removed at that revision; it is then older than a complete one.
     """
 
     era: int = 0
     revision: int = 0
-    store: str = ""  # the list service's own name of its store; empty while there is no list
+    store: str = ""  # identifies the list service's store; empty while there is no list
     complete: bool = True
 
     @property
     def order(self) -> VersionOrder:
-        """What tells newer from older."""
+        """The key by which versions are compared."""
         return VersionOrder(self.era, self.revision, self.complete)
 
 
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListSnapshot:
-    """A list, or what has changed since another version, on its way between nodes."""
+    """A complete list, or the changes since a base version, as sent from one node to another."""
 
     version: ListVersion
-    age: float  # seconds since the list service confirmed it, infinite if it never did
-    items: Mapping[str, Endpoint]  # all, or with a base what is new or changed since
-    base: ListVersion | None = None
-    removed: tuple[str, ...] = ()  # since the base
+    age: float  # seconds since the list service confirmed the list; infinite if it never did
+    items: Mapping[str, Endpoint]  # all entries, or those added or changed since the base
+    base: ListVersion | None = None  # None for a complete list
+    removed: tuple[str, ...] = ()  # keys removed since the base
--- a/tests/membership/test_list_cache.py
+++ b/tests/membership/test_list_cache.py
@@ -1,4 +1,4 @@
-"""The cached list: its age after a restart, and files that are damaged."""
+"""The list cache: the age of a loaded list, the file format, and damaged files."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from shelfhaven.membership.list_version import Endpoint, ListSnapshot, ListVersion
 
 
-def test_a_cached_list_is_older_by_the_time_that_passed(tmp_path: Path) -> None:
+def test_the_age_of_a_cached_list_includes_the_time_since_it_was_saved(tmp_path: Path) -> None:
     path = tmp_path / "list"
     assert list_cache.load(path, 0.0, 100.0) is None
     snapshot = ListSnapshot(ListVersion(0, 7, "s"), 3.0, {"a": Endpoint("at a", 1)})
     list_cache.save(path, snapshot, 1000.0)
     assert list_cache.load(path, 1010.0, 100.0) == ListSnapshot(snapshot.version, 13.0, snapshot.items)
     assert list_cache.load(path, 2000.0, 100.0) is None
-    back = list_cache.load(path, 500.0, 100.0)
-    assert back is not None
-    assert back.age == math.inf, "a clock that went back says nothing of the age"
+    after_clock_reset = list_cache.load(path, 500.0, 100.0)
+    assert after_clock_reset is not None
+    assert after_clock_reset.age == math.inf, "the age is unknown after the clock went back"
     assert [file.name for file in tmp_path.iterdir()] == ["list"]
 
 
-def test_the_file_is_the_one_that_earlier_versions_write(tmp_path: Path) -> None:
+def test_the_file_format_is_that_of_earlier_versions(tmp_path: Path) -> None:
     path = tmp_path / "list"
     list_cache.save(path, ListSnapshot(ListVersion(0, 7, "s"), 3.0, {"a": Endpoint("at a", 1)}), 1000.0)
     assert path.read_bytes() == (
@@ -34,14 +34,14 @@
     )
 
 
-def test_a_damaged_file_is_not_used(tmp_path: Path) -> None:
+def test_a_truncated_or_corrupted_file_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "list"
     list_cache.save(path, ListSnapshot(ListVersion(0, 7, "s"), 3.0, {"a": Endpoint("at a", 1)}), 1000.0)
     data = path.read_bytes()
-    for place in range(len(data)):
-        path.write_bytes(data[:place])
+    for position in range(len(data)):
+        path.write_bytes(data[:position])
         with pytest.raises(ValueError, match=r"."):
             list_cache.load(path, 1010.0, 100.0)
-        path.write_bytes(data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
+        path.write_bytes(data[:position] + bytes([data[position] ^ 1]) + data[position + 1 :])
         with pytest.raises(ValueError, match=r"."):
             list_cache.load(path, 1010.0, 100.0)
