--- a/shelfhaven/membership/__init__.py
+++ b/shelfhaven/membership/__init__.py
@@ -1,1 +1,4 @@
-"""Which nodes and servers exist: the endpoint list, its cache, and polling of peers and the list service."""
+"""Cluster membership: the endpoint list of nodes and servers, its cache, and its synchronization.
+
+Nodes obtain the list from each other and from the list service.
+"""
--- a/shelfhaven/membership/actor.py
+++ b/shelfhaven/membership/actor.py
@@ -1,7 +1,7 @@
-"""The actor that runs one node's membership: its timers, its sockets and the file of the cached list.
+"""Actor that runs one node's membership and owns its timers, its sockets and the list cache file.
 
-Carries out what the member (`member.py`) and the node's readiness (`readiness.py`) decide, by way of
-`peer_rpc.py` and `etcd_client.py`. No request waits for it.
+The decisions are made by the state machines in `member.py` and `readiness.py`; the actor performs the I/O,
+through `peer_rpc.py` and `etcd_client.py`. It is off the request path: no request waits for it.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 if TYPE_CHECKING:
     from shelfhaven.membership.etcd_client import EtcdListService
 
-READINESS_INTERVAL_S = 0.25  # between updates of the readiness and of what is known of the fleet
-MIN_CACHE_INTERVAL_S = 5.0  # between two writes of the cached list
+READINESS_INTERVAL_S = 0.25  # between updates of the readiness and of the fleet state passed to the node
+MIN_CACHE_INTERVAL_S = 5.0  # between two writes of the cache file
 MIN_WAKE_DELAY_S = 0.002
-CONTACTS_PER_ANSWER = 4
+CONTACTS_PER_ANSWER = 4  # addresses of other peers sent with each answer
 
-# Changed settings that need a restart, as the operator's file names them.
+# Fields of MembershipConfig that only a restart changes, with their names in the operator configuration.
 RESTART_SETTINGS = {
     "zone": "zone",
     "region": "region",
@@ -58,20 +58,20 @@
 
 
 class MembershipLoad(TypedDict):
-    """What the node's line on its load says of the membership."""
+    """Membership fields of the node's periodic load log line."""
 
-    knowing: str  # how the node knows the list
-    listing: str  # the state of its registration
-    step: str  # of its readiness
+    knowing: str  # the member's state
+    listing: str  # the registration's state
+    step: str  # of the node's readiness
     nodes: int
     era: int
     revision: int
-    list_age: float | None  # seconds; None: the list service never confirmed the list
-    kept: int  # entries that are retained
-    cold_part: float  # fraction of the fleet
-    asked_service: int  # requests since the start
-    answered_peers: int
-    events: dict[str, int]  # by name, since the line before
+    list_age: float | None  # seconds; None if the list service never confirmed the list
+    kept: int  # retained entries
+    cold_part: float  # fraction of the fleet that is cold
+    asked_service: int  # requests sent to the list service since the start
+    answered_peers: int  # polls answered since the start
+    events: dict[str, int]  # counts by event name since the previous line
 
 
 class Membership:
@@ -90,18 +90,18 @@
         self.member = Member(config.member, self.identity, random, start)
         self.readiness = Readiness(config.readiness, now)
         self.peer_rpc = PeerRpc(config.listen, config.secret, config.peer_timeout, self._answer_poll, log)
-        self.service: EtcdListService | None = self._connect(config.service)
+        self.service: EtcdListService | None = self._create_service_client(config.service)
         self.poll_tasks: set[asyncio.Task[None]] = set()
         self.wake_timer: asyncio.TimerHandle | None = None
         self.readiness_timer: asyncio.TimerHandle | None = None
-        self.learning = True  # peers are asked what they know of backends, until one knew something
-        self.strain = 1.0  # heard of peers lately
-        self.cache_due_at = 0.0
+        self.wants_backend_knowledge = True  # until a peer supplied usable estimates or the node is ready
+        self.peer_overload_factor = 1.0  # largest that peers reported since the last update
+        self.next_cache_write_at = 0.0
         self.cache_task: asyncio.Task[None] | None = None
-        self.event_counts: Counter[str] = Counter()  # by logged name
+        self.event_counts: Counter[str] = Counter()  # by name in the log
         self.ended = False
 
-    def _connect(self, settings: ListServiceSettings | None) -> EtcdListService | None:
+    def _create_service_client(self, settings: ListServiceSettings | None) -> EtcdListService | None:
         if settings is None:
             return None
         from shelfhaven.membership.etcd_client import EtcdListService
@@ -109,7 +109,7 @@
         return EtcdListService(settings.endpoints, settings.prefix, settings.timeout, self.report, self.log)
 
     def _load_cache(self) -> ListSnapshot | None:
-        """The list of an earlier incarnation, if it is young enough."""
+        """Load the list cached by an earlier incarnation; None if there is none that can be used."""
         if self.config.cache_file is None:
             return None
         try:
@@ -121,18 +121,18 @@
     # Life cycle
 
     def start(self) -> None:
-        """Answer peers, poll them, and follow the node's readiness."""
+        """Start answering and polling peers and updating the node's readiness."""
         self.peer_rpc.start()
         if self.member.endpoint_list.items:
-            self._list_changed()
+            self._publish_list()
         self._wake()
         self._update_readiness()
 
     def reconfigure(self, config: MembershipConfig) -> list[str]:
-        """Use what a changed file allows to be changed; returns the settings that need a restart."""
+        """Apply the settings that may change at run time; return the names of those that need a restart."""
         needs_restart = [
-            f"membership {written}"
-            for field, written in RESTART_SETTINGS.items()
+            f"membership {setting}"
+            for field, setting in RESTART_SETTINGS.items()
             if getattr(config, field) != getattr(self.config, field)
         ]
         self.member.reconfigure(config.member, config.peers)
@@ -147,16 +147,16 @@
         return needs_restart
 
     def watch_for_zone(self, watch: bool) -> None:
-        """Hold a watch whatever this node's rank, or leave that to the ranks."""
+        """Set whether this node is a zone watcher, which holds a watch regardless of its rank."""
         self.member.fleet.is_zone_watcher = watch
         self._wake()
 
     def deregister(self) -> None:
-        """The node drains: its registration is removed at once."""
+        """Remove the node's registration; called when the node starts to drain."""
         self._carry_out(self.member.on(time.monotonic(), NodeLeaving()))
 
     async def end(self) -> None:
-        """Stop for good."""
+        """Cancel timers and polls, and close the connections; the actor cannot be restarted."""
         self.ended = True
         for timer in (self.wake_timer, self.readiness_timer):
             if timer:
@@ -172,13 +172,13 @@
     # Events and actions
 
     def report(self, event: Event) -> None:
-        """Give the member an event, and carry out what follows."""
+        """Pass an event to the member and carry out the actions it returns."""
         if not self.ended:
             self.event_counts[LOGGED_EVENT_NAMES[type(event)]] += 1
             self._carry_out(self.member.on(time.monotonic(), event))
 
     def _carry_out(self, actions: list[Action]) -> None:
-        value = f"{self.identity.address} {self.identity.region}"
+        registration_value = f"{self.identity.address} {self.identity.region}"
         for action in actions:
             match action:
                 case PollPeer():
@@ -187,10 +187,10 @@
                     task.add_done_callback(self.poll_tasks.discard)
                 case ListChanged():
                     self._log_list_changed(action)
-                    self._list_changed()
+                    self._publish_list()
                 case _:
                     if self.service:
-                        self.service.carry_out(action, self.identity.key, value)
+                        self.service.carry_out(action, self.identity.key, registration_value)
         self._set_wake_timer()
 
     def _set_wake_timer(self) -> None:
@@ -220,41 +220,43 @@
             store=endpoint_list.version.store,
         )
 
-    def _list_changed(self) -> None:
-        """Pass the list on to the node, and write the cache before long."""
+    def _publish_list(self) -> None:
+        """Pass the list to the node, and schedule a write of the cache file."""
         self.readiness.has_list |= bool(self.member.endpoint_list.version.store)
         self.environment.list_changed(self.member.endpoint_list.items)
         if self.config.cache_file and not self.cache_task:
             self.cache_task = asyncio.ensure_future(self._write_cache(self.config.cache_file))
 
     async def _write_cache(self, path: Path) -> None:
-        """Write the cached list, from a thread and not too often."""
+        """Write the cache file in a thread, after waiting until the minimum interval has passed."""
         try:
-            await asyncio.sleep(max(0.0, self.cache_due_at - time.monotonic()))
+            await asyncio.sleep(max(0.0, self.next_cache_write_at - time.monotonic()))
             snapshot = self.member.endpoint_list.snapshot(time.monotonic())
             if snapshot.version.store:
                 await asyncio.to_thread(list_cache.save, path, snapshot, time.time())
         except OSError as error:
             self.log.event("list_file", file=str(path), error=str(error))
         finally:
-            self.cache_due_at = time.monotonic() + MIN_CACHE_INTERVAL_S
+            self.next_cache_write_at = time.monotonic() + MIN_CACHE_INTERVAL_S
             self.cache_task = None
 
     # Peers
 
     async def _poll(self, poll: PollPeer) -> None:
         try:
-            answer = await self.peer_rpc.poll(poll.peer, self.identity.address, poll.since, self.learning)
+            answer = await self.peer_rpc.poll(
+                poll.peer, self.identity.address, poll.since, self.wants_backend_knowledge
+            )
         except PeerRpcError as error:
             self.report(PeerFailed(poll.peer, error.retry_after))
             return
-        self.strain = max(self.strain, answer.strain)
-        if self.learning and answer.backend_knowledge is not None:
-            self._learn(poll.peer, answer)
+        self.peer_overload_factor = max(self.peer_overload_factor, answer.strain)
+        if self.wants_backend_knowledge and answer.backend_knowledge is not None:
+            self._apply_backend_knowledge(poll.peer, answer)
         self.report(PeerAnswered(poll.peer, answer.snapshot, answer.warm, answer.contacts))
 
-    def _learn(self, peer: str, answer: PeerAnswer) -> None:
-        """Use what a peer knows of backends."""
+    def _apply_backend_knowledge(self, peer: str, answer: PeerAnswer) -> None:
+        """Apply the backend estimates in a peer's answer."""
         try:
             health = float(answer.backend_knowledge["health"])
             knowledge = warm_start.from_json_values(answer.backend_knowledge["known"])
@@ -262,12 +264,12 @@
             self.log.event("peer_unreadable", peer=peer, error=str(error))
             return
         if knowledge and health > 0:
-            used = self.environment.learn(knowledge, health)
-            self.learning = used == 0  # another peer may know more
-            self.log.event("learned", peer=peer, servers=used, health=round(health, 3))
+            applied = self.environment.learn(knowledge, health)
+            self.wants_backend_knowledge = applied == 0  # if none applied, another peer may have some
+            self.log.event("learned", peer=peer, servers=applied, health=round(health, 3))
 
     def _answer_poll(self, peer: str, since: ListVersion, with_backends: bool) -> PeerAnswer:
-        """The answer to a peer's poll."""
+        """Build the answer to a peer's poll: the list, or its changes since the version that the peer has."""
         now = time.monotonic()
         snapshot = self.member.endpoint_list.snapshot(now, since)
         knowledge = None
@@ -284,30 +286,33 @@
     def _update_readiness(self) -> None:
         now = time.monotonic()
         cold_fraction = self.member.peers.cold_fraction()
-        before = self.readiness.step
+        previous_step = self.readiness.step
         self.readiness.has_first_answer = self.readiness.has_first_answer or self.environment.proven()
         step = self.readiness.update(now, self.environment.linked(), cold_fraction)
-        if step is not before:
+        if step is not previous_step:
             elapsed = round(now - self.readiness.started_at, 2)
             self.log.event("readiness", step=step.value, after=elapsed)
             if step is ReadinessStep.READY:
-                self.learning = False
+                self.wants_backend_knowledge = False
                 self.report(NodeReady())
-        heard = bool(self.member.peers.warmth)  # a node that heard of no peer takes the fleet to be cold
+        # Without an answer from any peer, the whole fleet counts as cold.
+        has_peer_answers = bool(self.member.peers.warmth)
         size = self.member.fleet.size()
-        self.environment.fleet_changed(cold_fraction if heard else 1.0, size, self.strain)
-        self.strain = 1.0
+        self.environment.fleet_changed(
+            cold_fraction if has_peer_answers else 1.0, size, self.peer_overload_factor
+        )
+        self.peer_overload_factor = 1.0
         loop = asyncio.get_running_loop()
         self.readiness_timer = loop.call_later(READINESS_INTERVAL_S, self._update_readiness)
 
     def load_now(self) -> MembershipLoad:
-        """The state for the log; event counts start anew."""
+        """Return the fields for the load log line, and reset the event counts."""
         event_counts = self.event_counts
         self.event_counts = Counter()
         endpoint_list = self.member.endpoint_list
         age = endpoint_list.age(time.monotonic())
         return {
-            "knowing": self.member.knowledge.value,
+            "knowing": self.member.state.value,
             "listing": self.member.registration.state.value,
             "step": self.readiness.step.value,
             "nodes": len(self.member.fleet.nodes),
--- a/shelfhaven/membership/fleet_view.py
+++ b/shelfhaven/membership/fleet_view.py
@@ -1,4 +1,4 @@
-"""What the parts of a member share: its settings, its identity, and what it knows of the fleet."""
+"""State shared by the parts of a member: settings, identity, and the node's view of the fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FleetView:
-    """The endpoint list of one node and the index of the nodes on it."""
+    """One node's endpoint list with the index of its nodes, and the settings and identity of the node."""
 
     def __init__(self, settings: MemberSettings, identity: NodeIdentity, random: Random) -> None:
         self.settings = settings
@@ -21,14 +21,14 @@
         self.nodes = NodeIndex()
         self.endpoint_list.on_put = self.nodes.add
         self.endpoint_list.on_removed = self.nodes.remove
-        self.is_zone_watcher = False  # this node holds the singleton task of watching for its zone
-        self.zone_watchers: set[str] = set()  # keys of the nodes that are to hold that task
+        self.is_zone_watcher = False  # this node runs the singleton task of watching the list for its zone
+        self.zone_watchers: set[str] = set()  # keys of the nodes assigned to that task
 
     def size(self) -> int:
-        """Nodes of the fleet, as far as is known."""
+        """Return the number of nodes in the fleet: those listed, or the expected number if that is larger."""
         return max(1, len(self.nodes), self.settings.expected_nodes)
 
     def reconfigure(self, settings: MemberSettings) -> None:
-        """Use other settings from now on."""
+        """Replace the settings."""
         self.settings = settings
         self.endpoint_list.settings = settings.shrink_guard
--- a/shelfhaven/membership/member.py
+++ b/shelfhaven/membership/member.py
@@ -1,10 +1,11 @@
-"""State machine by which one node learns the endpoint list and registers itself on it.
+"""State machine by which one node obtains the endpoint list and registers itself on it.
 
-It is given events and returns actions (`messages.py`); it does no I/O and reads no clock. The same object
-runs in a node (`actor.py`) and, by the thousand, in virtual time (`lab/membership_simulation.py`).
+It receives events and returns actions (`messages.py`); it does no I/O and reads no clock. The same class runs
+in a node (`actor.py`) and, in thousands of instances, in the simulation (`lab/membership_simulation.py`).
 
-Peers are polled first and for ever (`peer_polling.py`). The list service is asked within the node's part of a
-stated rate (`service_quota.py`): for the list (`list_watch.py`) and for the registration (`registration.py`).
+Peers are the first source of the list and are polled all the time (`peer_polling.py`). Requests to the list
+service, to read or watch the list (`list_watch.py`) and to register the node (`registration.py`), stay within
+the node's share of the configured rate (`service_quota.py`).
 """
 
 from __future__ import annotations
@@ -43,30 +44,30 @@
 from shelfhaven.membership.settings import MemberSettings
 
 
-class ListKnowledge(Enum):
-    """How the node knows the list. The values appear in the log."""
+class MemberState(Enum):
+    """Whether the node has the list and how it follows changes to it. The values appear in the log."""
 
-    SEEKING = "seeking"  # it has none
-    FOLLOWING = "following"  # from its peers
-    WATCHING = "watching"  # from the list service, for its peers too
-    LEFT = "left"
+    SEEKING = "seeking"  # has no list yet
+    FOLLOWING = "following"  # receives changes by polling peers
+    WATCHING = "watching"  # holds a watch at the list service, and passes changes on to peers
+    LEFT = "left"  # shut down, ignores further events
 
 
 @dataclass(frozen=True, slots=True)
 class MemberStart:
-    """What a member starts from."""
+    """Initial state of a member."""
 
     now: float
-    unix: float  # the wall clock's time at `now`, from which slots are computed
-    neighbours: Sequence[str] = ()  # addresses of peers to poll first
-    cached_list: ListSnapshot | None = None  # of an earlier incarnation, with its age
+    unix_time: float  # wall-clock time at `now`, from which slots are computed
+    neighbours: Sequence[str] = ()  # addresses of the configured peers, polled first
+    cached_list: ListSnapshot | None = None  # saved by an earlier incarnation, with its current age
     has_list_service: bool = True
 
 
 class Member:
-    """One node's part in the membership."""
+    """State machine of one node's membership."""
 
-    # Replaced by simulations that compare with a simpler scheme.
+    # Overridden in simulations of a simpler protocol, used as a baseline.
     quota_type: type[ServiceQuota] = ServiceQuota
     polling_type: type[PeerPolling] = PeerPolling
     watch_type: type[ListWatch] = ListWatch
@@ -76,15 +77,15 @@
     ) -> None:
         now = start.now
         self.fleet = FleetView(settings, identity, random)
-        self.quota = self.quota_type(self.fleet, now, start.unix)
+        self.quota = self.quota_type(self.fleet, now, start.unix_time)
         self.peers = self.polling_type(self.fleet, now, start.neighbours)
         self.list_watch = self.watch_type(self.fleet, self.quota)
         self.registration = Registration(self.quota)
         self.has_list_service = start.has_list_service
-        self.knowledge = ListKnowledge.SEEKING
+        self.state = MemberState.SEEKING
         if start.cached_list is not None:
             self.endpoint_list.merge_peer_snapshot(now, start.cached_list)
-            self._update_knowledge()
+            self._update_state()
         self.list_watch.plan_read(now)
         self.peers.spread_first_poll(now)
 
@@ -95,32 +96,32 @@
 
     @property
     def identity(self) -> NodeIdentity:
-        """Who the node is."""
+        """The node's identity."""
         return self.fleet.identity
 
     @property
     def endpoint_list(self) -> EndpointList:
-        """The list as this node knows it."""
+        """The node's copy of the endpoint list."""
         return self.fleet.endpoint_list
 
     def reconfigure(self, settings: MemberSettings, neighbours: Sequence[str]) -> None:
-        """Use other settings and neighbours from now on."""
+        """Replace the settings and the configured peers."""
         self.fleet.reconfigure(settings)
         self.peers.set_neighbours(neighbours)
 
     def on(self, now: float, event: Event) -> list[Action]:
-        """Take one event, and return what is to be done."""
-        if self.knowledge is ListKnowledge.LEFT:
+        """Handle one event and return the resulting actions."""
+        if self.state is MemberState.LEFT:
             return []
         if isinstance(event, NodeLeaving):
             return self._node_leaving(now)
         actions = self._handle(now, event)
-        self._update_knowledge()
+        self._update_state()
         return actions + self.wake(now)
 
     def next_wake(self) -> float:
-        """When something is due, at the earliest."""
-        if self.knowledge is ListKnowledge.LEFT:
+        """Return the time of the earliest due action; infinite if there is none."""
+        if self.state is MemberState.LEFT:
             return math.inf
         if not self.has_list_service:
             return self.peers.due_at
@@ -128,10 +129,10 @@
         return min(self.peers.due_at, max(self.quota.blocked_until, service_due))
 
     def wake(self, now: float) -> list[Action]:
-        """Return what is due."""
-        if self.knowledge is ListKnowledge.LEFT:
+        """Return the actions that are due."""
+        if self.state is MemberState.LEFT:
             return []
-        seeking = self.knowledge is ListKnowledge.SEEKING
+        seeking = self.state is MemberState.SEEKING
         actions: list[Action] = [*self.peers.due_polls(now, seeking)]
         if self.has_list_service and now >= self.quota.blocked_until:
             actions += self.list_watch.due_read(now)
@@ -197,13 +198,13 @@
     def _node_leaving(self, now: float) -> list[Action]:
         actions: list[Action] = self.list_watch.stop_watch()
         actions += self.registration.deregister(now, self.has_list_service)
-        self.knowledge = ListKnowledge.LEFT
+        self.state = MemberState.LEFT
         return actions
 
-    def _update_knowledge(self) -> None:
+    def _update_state(self) -> None:
         if self.list_watch.watching:
-            self.knowledge = ListKnowledge.WATCHING
+            self.state = MemberState.WATCHING
         elif self.endpoint_list.version.store or self.endpoint_list.items:
-            self.knowledge = ListKnowledge.FOLLOWING
+            self.state = MemberState.FOLLOWING
         else:
-            self.knowledge = ListKnowledge.SEEKING
+            self.state = MemberState.SEEKING
--- a/shelfhaven/membership/node_environment.py
+++ b/shelfhaven/membership/node_environment.py
@@ -1,4 +1,4 @@
-"""What the membership needs of the node around it."""
+"""Interface through which the membership queries and notifies the node that it runs in."""
 
 from __future__ import annotations
 
@@ -12,35 +12,38 @@
 
 
 class NodeEnvironment:
-    """What the membership asks the node, and what it reports to it; by default of a node without pools."""
+    """Queries to the node and notifications of it. The defaults are those of a node without pools."""
 
     def linked(self) -> bool:
-        """Whether there is a link to what runs the node's requests."""
+        """Whether the node is connected to the runner of its requests."""
         return True
 
     def proven(self) -> bool:
-        """Whether a backend has given a good answer since the start."""
+        """Whether a backend has answered successfully since the start."""
         return False
 
     def health(self) -> float:
-        """How well the node is, from 0 to 1."""
+        """The node's health, from 0 (unhealthy) to 1."""
         return 1.0
 
     def strain(self) -> float:
-        """How overloaded the node knows backends to be; 1 for not at all."""
+        """The factor by which backends are overloaded, as far as the node knows; 1 for no overload."""
         return 1.0
 
     def known_servers(self) -> BackendKnowledge:
-        """What the node knows of backends, for a peer that starts."""
+        """The node's estimates of backends, for a peer that is starting."""
         return {}
 
     def learn(self, knowledge: Mapping[str, warm_start.BackendEstimate], health: float) -> int:
-        """Use what a peer of that health knows of backends; returns for how many it was used."""
+        """Apply a peer's backend estimates, weighted by its health; return the number of those applied."""
         del knowledge, health
         return 0
 
     def fleet_changed(self, cold_fraction: float, size: int, strain: float) -> None:
-        """Take what is known of the fleet by now."""
+        """Receive the current state of the fleet; called periodically, also without a change.
+
+        `strain` is the largest overload factor that peers reported since the previous call.
+        """
 
     def list_changed(self, items: Mapping[str, Endpoint]) -> None:
-        """Take an endpoint list that is another than before."""
+        """Receive the entries of the endpoint list after a change."""
--- a/shelfhaven/membership/node_identity.py
+++ b/shelfhaven/membership/node_identity.py
@@ -1,4 +1,4 @@
-"""Who a node is: its name, where it stands, and its key on the endpoint list."""
+"""Identity of a node: its name and location, and its key on the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """One node's name and place."""
+    """A node's name, location and address."""
 
     name: str
     zone: str = ""
--- a/shelfhaven/membership/settings.py
+++ b/shelfhaven/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node's membership, as the operator's file gives them. Times are in seconds."""
+"""Membership settings of one node, from the operator configuration. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """How a member polls its peers and how much the fleet asks of the list service."""
-
-    max_requests_per_s: float = 100.0  # that the list service gets from the whole fleet
-    expected_nodes: int = 100  # even while the list has fewer: a fleet that starts is not a small one
-    watcher_count: int = 8  # nodes that hold a watch
-    poll_interval: float = 2.0  # between two polls of peers
-    stale_after: float = 30.0  # age of the list from which the node reads it in its own slot
-    min_lease: float = 10.0  # the lease grows with the fleet
+    """Settings of a member's polls and of the fleet's request rate at the list service."""
+
+    max_requests_per_s: float = 100.0  # sent to the list service by the whole fleet
+    expected_nodes: int = 100  # minimum for the assumed fleet size, as the list of a starting fleet is short
+    watcher_count: int = 8  # nodes that hold a watch at the list service
+    poll_interval: float = 2.0  # between two polls of peers by one node
+    stale_after: float = 30.0  # list age beyond which the node reads the list from the list service
+    min_lease: float = 10.0  # duration of the registration's lease, which increases with the fleet's size
     shrink_guard: ShrinkGuardSettings = field(default_factory=ShrinkGuardSettings)
 
 
 @dataclass(frozen=True, slots=True)
 class ListServiceSettings:
-    """Where the list is stored."""
+    """Location of the list service, and how to access it."""
 
     kind: str
     endpoints: tuple[str, ...]
     prefix: str
-    timeout: float  # for an answer
+    timeout: float  # of a request
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipConfig:
-    """A node's membership."""
+    """Membership configuration of a node."""
 
     zone: str
     region: str
     listen: Address
-    advertise: Address  # where peers reach that
+    advertise: Address  # address at which peers reach `listen`
     secret: bytes
-    peers: tuple[str, ...]
-    service: ListServiceSettings | None
+    peers: tuple[str, ...]  # addresses of the peers to poll first
+    service: ListServiceSettings | None  # None if the fleet has no list service
     member: MemberSettings
     readiness: ReadinessSettings
-    peer_timeout: float  # for a peer's answer
-    cache_file: Path | None  # of the list
-    max_cache_age: float  # of a cached list that is used
+    peer_timeout: float  # of a poll
+    cache_file: Path | None  # None if the list is not cached
+    max_cache_age: float  # older cached lists are not used
--- a/tests/membership/fixtures.py
+++ b/tests/membership/fixtures.py
@@ -1,11 +1,11 @@
-"""Settings, lists and constants that several tests of the membership share."""
+"""Settings, lists and constants shared by the membership tests."""
 
 from __future__ import annotations
 
 from shelfhaven.membership.list_version import Endpoint, ListSnapshot, ListVersion
 from shelfhaven.membership.settings import MemberSettings
 
-ASKS = 100.0  # requests a second that the list service gets from the whole fleet
+ASKS = 100.0  # requests per second sent to the list service by the whole fleet
 
 
 def settings(count: int, **changes: object) -> MemberSettings:
@@ -13,5 +13,5 @@
 
 
 def list_of(count: int, revision: int = 50, age: float = 0.0) -> ListSnapshot:
-    found = {f"nodes/z{n % 3}/n{n:05}": Endpoint(f"an{n:05}", revision) for n in range(count)}
-    return ListSnapshot(ListVersion(0, revision, "store-1"), age, found)
+    items = {f"nodes/z{n % 3}/n{n:05}": Endpoint(f"an{n:05}", revision) for n in range(count)}
+    return ListSnapshot(ListVersion(0, revision, "store-1"), age, items)
