--- a/shelfhaven/membership/actor.py
+++ b/shelfhaven/membership/actor.py
@@ -146,9 +146,9 @@
             self.report(ListServiceMoved())
         return needs_restart
 
-    def watch_for_zone(self, watch: bool) -> None:
+    def set_zone_watcher(self, enabled: bool) -> None:
         """Set whether this node is a zone watcher, which holds a watch regardless of its rank."""
-        self.member.fleet.is_zone_watcher = watch
+        self.member.fleet.is_zone_watcher = enabled
         self._wake()
 
     def deregister(self) -> None:
@@ -264,7 +264,7 @@
             self.log.event("peer_unreadable", peer=peer, error=str(error))
             return
         if knowledge and health > 0:
-            applied = self.environment.learn(knowledge, health)
+            applied = self.environment.apply_backend_knowledge(knowledge, health)
             self.wants_backend_knowledge = applied == 0  # if none applied, another peer may have some
             self.log.event("learned", peer=peer, servers=applied, health=round(health, 3))
 
@@ -274,12 +274,12 @@
         snapshot = self.member.endpoint_list.snapshot(now, since)
         knowledge = None
         if with_backends:
-            knowledge = {"health": self.environment.health(), "known": self.environment.known_servers()}
+            knowledge = {"health": self.environment.health(), "known": self.environment.backend_knowledge()}
         if peer:
             self.report(PolledByPeer(peer))
         warm = self.readiness.warm(now)
         contacts = tuple(self.member.peers.some_contacts(CONTACTS_PER_ANSWER))
-        return PeerAnswer(snapshot, warm, contacts, self.environment.strain(), knowledge)
+        return PeerAnswer(snapshot, warm, contacts, self.environment.overload_factor(), knowledge)
 
     # Readiness
 
@@ -287,8 +287,10 @@
         now = time.monotonic()
         cold_fraction = self.member.peers.cold_fraction()
         previous_step = self.readiness.step
-        self.readiness.has_first_answer = self.readiness.has_first_answer or self.environment.proven()
-        step = self.readiness.update(now, self.environment.linked(), cold_fraction)
+        self.readiness.has_first_answer = (
+            self.readiness.has_first_answer or self.environment.has_backend_answered()
+        )
+        step = self.readiness.update(now, self.environment.is_runner_connected(), cold_fraction)
         if step is not previous_step:
             elapsed = round(now - self.readiness.started_at, 2)
             self.log.event("readiness", step=step.value, after=elapsed)
--- a/shelfhaven/membership/administration.py
+++ b/shelfhaven/membership/administration.py
@@ -6,7 +6,7 @@
 import sys
 
 from shelfhaven.command_output import CommandOutput
-from shelfhaven.membership.endpoint_registry import NODES, address_of
+from shelfhaven.membership.endpoint_registry import NODE_KEY_PREFIX, address_of
 from shelfhaven.membership.list_version import NO_LIST, ListSnapshot, ListVersion
 from shelfhaven.membership.peer_rpc import PeerRpc, PeerRpcError
 from shelfhaven.membership.settings import MembershipConfig
@@ -49,8 +49,8 @@
     if not version.store:
         return ["no endpoint list yet"]
     age = f"{snapshot.age:.0f} s ago" if math.isfinite(snapshot.age) else "never"
-    nodes = sorted(key for key in snapshot.items if key.startswith(NODES))
-    others = sorted(key for key in snapshot.items if not key.startswith(NODES))
+    nodes = sorted(key for key in snapshot.items if key.startswith(NODE_KEY_PREFIX))
+    others = sorted(key for key in snapshot.items if not key.startswith(NODE_KEY_PREFIX))
     warm = "warm" if answer.warm else "cold"
     return [
         f"era {version.era}, revision {version.revision} of {version.store}, confirmed by the service {age}",
@@ -61,5 +61,5 @@
 
 
 def _node_line(key: str, value: str) -> str:
-    zone, _, name = key.removeprefix(NODES).partition("/")
+    zone, _, name = key.removeprefix(NODE_KEY_PREFIX).partition("/")
     return f"{zone:12} {name:24} {address_of(value)}"
--- a/shelfhaven/membership/endpoint_registry.py
+++ b/shelfhaven/membership/endpoint_registry.py
@@ -15,7 +15,7 @@
 from shelfhaven.membership.list_version import Endpoint
 from shelfhaven.membership.poll_schedule import Rank, rank
 
-NODES = "nodes/"  # prefix of the keys of nodes, nodes/ZONE/NAME; their values are "ADDRESS REGION"
+NODE_KEY_PREFIX = "nodes/"  # of keys "nodes/ZONE/NAME"; the values are "ADDRESS REGION"
 
 
 @lru_cache(maxsize=1 << 15)
@@ -42,8 +42,8 @@
     """Return the nodes among the entries of a list."""
     nodes = []
     for key, item in items.items():
-        if key.startswith(NODES):
-            zone, _, name = key.removeprefix(NODES).partition("/")
+        if key.startswith(NODE_KEY_PREFIX):
+            zone, _, name = key.removeprefix(NODE_KEY_PREFIX).partition("/")
             address, _, region = item.value.partition(" ")
             nodes.append(ListedNode(name, zone, region, address))
     return nodes
@@ -65,7 +65,7 @@
 
     def add(self, key: str) -> None:
         """Add the key of a listed entry; keys of entries other than nodes are ignored."""
-        if key.startswith(NODES) and key not in self.positions:
+        if key.startswith(NODE_KEY_PREFIX) and key not in self.positions:
             self.positions[key] = len(self.keys)
             self.keys.append(key)
             insort(self.ranks, _watch_rank(key))
--- a/shelfhaven/membership/node_environment.py
+++ b/shelfhaven/membership/node_environment.py
@@ -14,11 +14,11 @@
 class NodeEnvironment:
     """Queries to the node and notifications of it. The defaults are those of a node without pools."""
 
-    def linked(self) -> bool:
+    def is_runner_connected(self) -> bool:
         """Whether the node is connected to the runner of its requests."""
         return True
 
-    def proven(self) -> bool:
+    def has_backend_answered(self) -> bool:
         """Whether a backend has answered successfully since the start."""
         return False
 
@@ -26,23 +26,25 @@
         """The node's health, from 0 (unhealthy) to 1."""
         return 1.0
 
-    def strain(self) -> float:
+    def overload_factor(self) -> float:
         """The factor by which backends are overloaded, as far as the node knows; 1 for no overload."""
         return 1.0
 
-    def known_servers(self) -> BackendKnowledge:
+    def backend_knowledge(self) -> BackendKnowledge:
         """The node's estimates of backends, for a peer that is starting."""
         return {}
 
-    def learn(self, knowledge: Mapping[str, warm_start.BackendEstimate], health: float) -> int:
+    def apply_backend_knowledge(
+        self, knowledge: Mapping[str, warm_start.BackendEstimate], health: float
+    ) -> int:
         """Apply a peer's backend estimates, weighted by its health; return the number of those applied."""
         del knowledge, health
         return 0
 
-    def fleet_changed(self, cold_fraction: float, size: int, strain: float) -> None:
+    def fleet_changed(self, cold_fraction: float, size: int, overload_factor: float) -> None:
         """Receive the current state of the fleet; called periodically, also without a change.
 
-        `strain` is the largest overload factor that peers reported since the previous call.
+        `overload_factor` is the largest that peers reported since the previous call.
         """
 
     def list_changed(self, items: Mapping[str, Endpoint]) -> None:
--- a/shelfhaven/membership/node_identity.py
+++ b/shelfhaven/membership/node_identity.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from shelfhaven.membership.endpoint_registry import NODES
+from shelfhaven.membership.endpoint_registry import NODE_KEY_PREFIX
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,4 +19,4 @@
     @property
     def key(self) -> str:
         """The node's key on the endpoint list."""
-        return f"{NODES}{self.zone}/{self.name}"
+        return f"{NODE_KEY_PREFIX}{self.zone}/{self.name}"
--- a/shelfhaven/membership/peer_polling.py
+++ b/shelfhaven/membership/peer_polling.py
@@ -12,7 +12,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Sequence
 
-from shelfhaven.membership.endpoint_registry import NODES, address_of
+from shelfhaven.membership.endpoint_registry import NODE_KEY_PREFIX, address_of
 from shelfhaven.membership.fleet_view import FleetView
 from shelfhaven.membership.list_version import ListVersion
 from shelfhaven.membership.messages import PeerAnswered, PeerFailed, PollPeer
@@ -153,7 +153,7 @@
         watchers = sorted(key for key in self.fleet.zone_watchers if key in items)
         if not watchers or self.fleet.random.random() >= ZONE_WATCHER_POLL_FRACTION:
             return None
-        prefix = f"{NODES}{self.fleet.identity.zone}/"
+        prefix = f"{NODE_KEY_PREFIX}{self.fleet.identity.zone}/"
         same_zone = [key for key in watchers if key.startswith(prefix)]
         return address_of(items[self.fleet.random.choice(same_zone or watchers)].value)
 
--- a/shelfhaven/program/membership.py
+++ b/shelfhaven/program/membership.py
@@ -42,7 +42,7 @@
     def _pools_by_name(self) -> dict[str, Pool]:
         return self.pools.by_name() if self.pools else {}
 
-    def linked(self) -> bool:
+    def is_runner_connected(self) -> bool:
         """Whether the agent's link is up, where there is an agent."""
         return self.core.config.agent is None or self.peers.agent.up
 
@@ -51,14 +51,14 @@
         serving = self.core.healthy and not self.core.draining
         return (1.0 if serving else 0.0) / (1.0 + self.loop_lag / HALF_HEALTH_LAG_S)
 
-    def strain(self) -> float:
+    def overload_factor(self) -> float:
         """The strain of the most overloaded pool; 1 for none."""
         return max(
             (pool.slow_start.overload_factor for pool in self._pools_by_name().values() if pool.slow_start),
             default=1.0,
         )
 
-    def known_servers(self) -> BackendKnowledge:
+    def backend_knowledge(self) -> BackendKnowledge:
         """What the pools know of their servers, by "POOL/SERVER"."""
         now = time.monotonic()
         return {
@@ -67,7 +67,9 @@
             for server, knowledge in warm_start.to_json_values(warm_start.estimates_of(now, pool)).items()
         }
 
-    def learn(self, knowledge: Mapping[str, warm_start.BackendEstimate], health: float) -> int:
+    def apply_backend_knowledge(
+        self, knowledge: Mapping[str, warm_start.BackendEstimate], health: float
+    ) -> int:
         """Use what a peer knows of servers as priors; returns for how many it was used."""
         now = time.monotonic()
         used = 0
@@ -82,16 +84,16 @@
                 actor.flush()
         return used
 
-    def fleet_changed(self, cold_fraction: float, size: int, strain: float) -> None:
+    def fleet_changed(self, cold_fraction: float, size: int, overload_factor: float) -> None:
         """Measure the event loop's lag, and tell the pools' slow starts of the fleet."""
         now = time.monotonic()
         self.loop_lag = max(0.0, now - self.update_due_at)
         self.update_due_at = now + READINESS_INTERVAL_S
         for pool in self._pools_by_name().values():
             if pool.slow_start:
-                pool.slow_start.update(now, cold_fraction, size, strain)
+                pool.slow_start.update(now, cold_fraction, size, overload_factor)
 
-    def proven(self) -> bool:
+    def has_backend_answered(self) -> bool:
         """Whether a server has answered since the start."""
         return any(
             backend.latency_samples
--- a/shelfhaven/program/singleton_tasks.py
+++ b/shelfhaven/program/singleton_tasks.py
@@ -18,7 +18,7 @@
 from shelfhaven.election.send_task import SendSettings, SendTask
 from shelfhaven.election.unresolved import UnresolvedOperation, UnresolvedOperations
 from shelfhaven.election.watch_list_task import WatchListTask
-from shelfhaven.membership.endpoint_registry import NODES, nodes_of
+from shelfhaven.membership.endpoint_registry import NODE_KEY_PREFIX, nodes_of
 from shelfhaven.membership.list_version import Endpoint
 from shelfhaven.membership.peer_rpc import PeerRpcError
 from shelfhaven.operator_config import Operator
@@ -68,7 +68,7 @@
     def watch_list(self, enabled: bool) -> None:
         """Watch the list service for the zone, or leave that to others."""
         if self.membership:
-            self.membership.actor.watch_for_zone(enabled)
+            self.membership.actor.set_zone_watcher(enabled)
 
 
 class SingletonTasksComponent(Component):
@@ -197,7 +197,7 @@
         orders = {task.zone: rankings[task.name].order for task in tasks if task.name in rankings}
         watchers = {zone: order[0] for zone, order in orders.items() if order}
         member = self.membership.actor.member
-        member.fleet.zone_watchers = {f"{NODES}{zone}/{node}" for zone, node in watchers.items()}
+        member.fleet.zone_watchers = {f"{NODE_KEY_PREFIX}{zone}/{node}" for zone, node in watchers.items()}
 
     def _outcome_unknown(self, request_class: str, tenant: str, key: str) -> None:
         self.unresolved.add(UnresolvedOperation(request_class, tenant, key, time.time()))
--- a/tests/lab/simulation_digests.py
+++ b/tests/lab/simulation_digests.py
@@ -14,7 +14,7 @@
 from shelfhaven.lab.failover_faults import FaultedSimulation, draw_faults
 from shelfhaven.lab.membership_simulation import MembershipSimulation
 from shelfhaven.lab.simulated_list_service import SimulatedListService
-from tests.membership.fixtures import ASKS, settings
+from tests.membership.fixtures import MAX_REQUESTS_PER_S, settings
 
 SEED = 7
 MEMBERS = 30
@@ -33,7 +33,7 @@
 
 def membership() -> str:
     """A fleet whose list service is down for a while, and of which some members restart."""
-    service = SimulatedListService(rate=ASKS)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = MembershipSimulation(MEMBERS, settings(MEMBERS), SEED, service)
     simulation.run(60.0)
     service.up = False
--- a/tests/membership/test_member.py
+++ b/tests/membership/test_member.py
@@ -32,7 +32,7 @@
 from shelfhaven.membership.node_identity import NodeIdentity
 from shelfhaven.membership.registration import RegistrationLease, RegistrationState
 from shelfhaven.membership.service_quota import READ_SHARE
-from tests.membership.fixtures import list_of, settings
+from tests.membership.fixtures import settings, snapshot_of_nodes
 
 START_UNIX_TIME = 1e9  # wall-clock time at the start
 
@@ -52,7 +52,7 @@
     actions = member.wake(0.0)
     assert {type(action) for action in actions} == {PollPeer}
     assert len(actions) == 2
-    answer = PeerAnswered("a2", list_of(5))
+    answer = PeerAnswered("a2", snapshot_of_nodes(5))
     assert ReadList() not in member.on(0.1, answer)
     assert member.state is MemberState.FOLLOWING
 
@@ -73,7 +73,7 @@
 
 def test_a_ready_node_registers_and_renews_its_lease_in_time() -> None:
     member = make_member()
-    member.on(0.0, PeerAnswered("a2", list_of(5)))
+    member.on(0.0, PeerAnswered("a2", snapshot_of_nodes(5)))
     assert not any(isinstance(action, RegisterSelf) for action in member.wake(3.0))
     now, register = 3.0, None
     actions = member.on(now, NodeReady())
@@ -115,18 +115,18 @@
     member.on(0.0, NodeReady())
     set_registered(member)
     assert member.on(5.0, NodeLeaving()) == [DeregisterSelf(9)]
-    assert member.on(6.0, PeerAnswered("a2", list_of(5))) == []
+    assert member.on(6.0, PeerAnswered("a2", snapshot_of_nodes(5))) == []
     assert member.next_wake() == math.inf
 
 
 def test_the_watch_restarts_if_a_new_era_has_a_smaller_revision_than_it_announced() -> None:
     member = make_member()
-    member.on(0.0, PeerAnswered("a2", list_of(4)))
+    member.on(0.0, PeerAnswered("a2", snapshot_of_nodes(4)))
     set_registered(member)
     assert WatchList(50) in member.wake(0.1)
     key = "nodes/z1/n00009"
     member.on(0.2, WatchEventReceived("store-1", 52, {key: Endpoint("an00009", 52)}))
-    older = list_of(4)
+    older = snapshot_of_nodes(4)
     # The peer's list was read before the entry was put, and arrives after the watch announced the entry.
     answer = ListSnapshot(ListVersion(1, 51, "store-1"), 0.0, older.items)
     actions = member.on(0.3, PeerAnswered("a3", answer))
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("end", [WatchLost(True), WatchEventReceived("other", 3)])
 def test_a_watch_that_cannot_continue_causes_a_read_even_if_the_list_is_fresh(end: Event) -> None:
     member = make_member()
-    member.on(0.0, PeerAnswered("a2", list_of(5)))
+    member.on(0.0, PeerAnswered("a2", snapshot_of_nodes(5)))
     set_registered(member)
     member.list_watch.watching = True
     now, actions = 0.0, member.on(0.0, end)
@@ -158,11 +158,11 @@
 
 def test_watch_events_older_than_a_list_from_a_peer_are_ignored_without_a_read() -> None:
     member = make_member(watcher_count=99)
-    member.on(0.0, PeerAnswered("a2", list_of(5)))
+    member.on(0.0, PeerAnswered("a2", snapshot_of_nodes(5)))
     set_registered(member)
     member.list_watch.watching = True
     member.list_watch.watch_start_revision = 50
-    member.on(0.1, PeerAnswered("a2", list_of(8, revision=60)))
+    member.on(0.1, PeerAnswered("a2", snapshot_of_nodes(8, revision=60)))
     late = WatchEventReceived("store-1", 55, {"nodes/z1/n00007": Endpoint("another", 55)})
     assert StopWatch() not in member.on(0.2, late)
     assert (member.list_watch.needs_read, member.endpoint_list.items["nodes/z1/n00007"].value) == (
--- a/tests/membership/test_peer_polling.py
+++ b/tests/membership/test_peer_polling.py
@@ -14,7 +14,7 @@
     PeerPolling,
 )
 from shelfhaven.membership.service_quota import ServiceQuota
-from tests.membership.fixtures import list_of, settings
+from tests.membership.fixtures import settings, snapshot_of_nodes
 
 NODES = 30  # a third of them in each zone
 POLLS = 400
@@ -22,7 +22,7 @@
 
 def fleet_view() -> FleetView:
     fleet = FleetView(settings(NODES), NodeIdentity("n1", "z1", "r", "a1"), Random(1))
-    fleet.endpoint_list.merge_peer_snapshot(0.0, list_of(NODES))
+    fleet.endpoint_list.merge_peer_snapshot(0.0, snapshot_of_nodes(NODES))
     return fleet
 
 
@@ -88,5 +88,5 @@
     polling.peer_failed(10.0, PeerFailed("a2", retry_after=50.0))
     assert polling.due_polls(59.0, seeking=True) == []
     assert [poll.peer for poll in polling.due_polls(61.0, seeking=True)] == ["a2"]
-    polling.peer_answered(PeerAnswered("a2", list_of(1)))
+    polling.peer_answered(PeerAnswered("a2", snapshot_of_nodes(1)))
     assert [poll.peer for poll in polling.due_polls(80.0, seeking=True)] == ["a2"]
--- a/tests/membership/test_simulation.py
+++ b/tests/membership/test_simulation.py
@@ -11,7 +11,7 @@
 from shelfhaven.membership.messages import Event, PeerAnswered
 from shelfhaven.membership.service_quota import REGISTRATION_SHARE
 from shelfhaven.membership.shrink_guard import ShrinkGuardSettings
-from tests.membership.fixtures import ASKS, list_of, settings
+from tests.membership.fixtures import MAX_REQUESTS_PER_S, settings, snapshot_of_nodes
 
 OVER = 1.2  # of the stated rate in the busiest second: a second's edge cuts no slot in two
 START = ("cached_list", "window", "neighbours")  # changes that are of the start and not of the settings
@@ -21,7 +21,7 @@
     count: int, service: SimulatedListService | None = None, seed: int = 1, **changes: object
 ) -> MembershipSimulation:
     start = FleetStart(**{name: changes.pop(name) for name in START if name in changes})  # type: ignore[arg-type]
-    service = service or SimulatedListService(rate=ASKS)
+    service = service or SimulatedListService(rate=MAX_REQUESTS_PER_S)
     return MembershipSimulation(count, settings(count, **changes), seed, service, start)
 
 
@@ -30,7 +30,7 @@
     simulation = simulate(count)
     at = simulation.run(200.0, simulation.converged)
     assert simulation.converged(), "everybody knows everybody"
-    assert simulation.service.peak_requests() <= OVER * ASKS
+    assert simulation.service.peak_requests() <= OVER * MAX_REQUESTS_PER_S
     assert at < 10.0 + 2 * simulation.members[next(iter(simulation.members))].quota.window(
         REGISTRATION_SHARE, 2.0
     )
@@ -44,11 +44,11 @@
     simulation.run(240.0)
     assert simulation.service.requests_by_kind["ReadList"] == before["ReadList"]
     asked = sum(simulation.service.requests_by_kind.values()) - sum(before.values())
-    assert asked / 120 < 0.4 * ASKS
+    assert asked / 120 < 0.4 * MAX_REQUESTS_PER_S
 
 
 def test_a_service_that_dies_half_way_and_comes_back_empty_removes_nothing() -> None:
-    service = SimulatedListService(rate=ASKS)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = simulate(
         100,
         service,
@@ -68,18 +68,18 @@
     assert min(least[2:]) >= 30, "what was known before is kept"
     simulation.run(400.0, simulation.converged)
     assert simulation.converged(), "and all are listed again"
-    assert simulation.service.peak_requests(17.0) <= OVER * ASKS
+    assert simulation.service.peak_requests(17.0) <= OVER * MAX_REQUESTS_PER_S
 
 
 def test_the_end_of_the_service_leaves_the_list_as_it_is() -> None:
-    service = SimulatedListService(rate=ASKS)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = simulate(60, service)
     simulation.run(60.0)
     service.up = False
     simulation.run(400.0)
     assert simulation.converged()
     late = [count for second, count in service.requests_by_second.items() if second > 120]
-    assert max(late) <= OVER * ASKS
+    assert max(late) <= OVER * MAX_REQUESTS_PER_S
 
 
 def test_half_that_cannot_reach_the_service_learn_from_the_other_half() -> None:
@@ -116,12 +116,12 @@
     simulation.at(15.0, simulation.stopped.clear)
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
-    assert simulation.service.peak_requests() <= OVER * ASKS
+    assert simulation.service.peak_requests() <= OVER * MAX_REQUESTS_PER_S
 
 
 def test_a_start_from_an_old_cached_list_finds_the_present_fleet() -> None:
-    service = SimulatedListService(rate=ASKS)
-    known = list_of(80, revision=50, age=600.0)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
+    known = snapshot_of_nodes(80, revision=50, age=600.0)
     service.revision = 60
     service.deleted = [(60, key) for key in known.items][60:]  # as the service tells who watches from 50 on
     simulation = simulate(
