--- a/shelfhaven/membership/node_identity.py
+++ b/shelfhaven/membership/node_identity.py
@@ -1,15 +1,15 @@
-"""Who a node is: its name, where it stands, and its key on the endpoint list."""
+"""Identity of a node: its name and location, and its key on the endpoint list."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from shelfhaven.membership.endpoint_registry import NODES
+from shelfhaven.membership.endpoint_registry import NODE_KEY_PREFIX
 
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """One node's name and place."""
+    """A node's name, location and address."""
 
     name: str
     zone: str = ""
@@ -19,4 +19,4 @@
     @property
     def key(self) -> str:
         """The node's key on the endpoint list."""
-        return f"{NODES}{self.zone}/{self.name}"
+        return f"{NODE_KEY_PREFIX}{self.zone}/{self.name}"
--- a/tests/membership/test_simulation.py
+++ b/tests/membership/test_simulation.py
@@ -11,7 +11,7 @@
 from shelfhaven.membership.messages import Event, PeerAnswered
 from shelfhaven.membership.service_quota import REGISTRATION_SHARE
 from shelfhaven.membership.shrink_guard import ShrinkGuardSettings
-from tests.membership.fixtures import ASKS, list_of, settings
+from tests.membership.fixtures import MAX_REQUESTS_PER_S, settings, snapshot_of_nodes
 
 RATE_TOLERANCE = 1.2  # times the configured rate: slots are not aligned with the seconds that are counted
 START_OPTIONS = ("cached_list", "window", "neighbours")  # fields of `FleetStart`; other options are settings
@@ -21,7 +21,7 @@
     count: int, service: SimulatedListService | None = None, seed: int = 1, **options: object
 ) -> MembershipSimulation:
     start = FleetStart(**{name: options.pop(name) for name in START_OPTIONS if name in options})  # type: ignore[arg-type]
-    service = service or SimulatedListService(rate=ASKS)
+    service = service or SimulatedListService(rate=MAX_REQUESTS_PER_S)
     return MembershipSimulation(count, settings(count, **options), seed, service, start)
 
 
@@ -30,7 +30,7 @@
     simulation = simulate(count)
     at = simulation.run(200.0, simulation.converged)
     assert simulation.converged(), "every node lists all nodes"
-    assert simulation.service.peak_requests() <= RATE_TOLERANCE * ASKS
+    assert simulation.service.peak_requests() <= RATE_TOLERANCE * MAX_REQUESTS_PER_S
     assert at < 10.0 + 2 * simulation.members[next(iter(simulation.members))].quota.window(
         REGISTRATION_SHARE, 2.0
     )
@@ -44,11 +44,11 @@
     simulation.run(240.0)
     assert simulation.service.requests_by_kind["ReadList"] == before["ReadList"]
     request_count = sum(simulation.service.requests_by_kind.values()) - sum(before.values())
-    assert request_count / 120 < 0.4 * ASKS
+    assert request_count / 120 < 0.4 * MAX_REQUESTS_PER_S
 
 
 def test_a_list_service_that_loses_its_data_during_the_start_removes_no_nodes() -> None:
-    service = SimulatedListService(rate=ASKS)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = simulate(
         100,
         service,
@@ -68,18 +68,18 @@
     assert min(node_counts[2:]) >= 30, "nodes listed before are kept"
     simulation.run(400.0, simulation.converged)
     assert simulation.converged(), "all nodes are listed again"
-    assert simulation.service.peak_requests(17.0) <= RATE_TOLERANCE * ASKS
+    assert simulation.service.peak_requests(17.0) <= RATE_TOLERANCE * MAX_REQUESTS_PER_S
 
 
 def test_without_the_list_service_the_list_is_kept() -> None:
-    service = SimulatedListService(rate=ASKS)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = simulate(60, service)
     simulation.run(60.0)
     service.up = False
     simulation.run(400.0)
     assert simulation.converged()
     late = [count for second, count in service.requests_by_second.items() if second > 120]
-    assert max(late) <= RATE_TOLERANCE * ASKS
+    assert max(late) <= RATE_TOLERANCE * MAX_REQUESTS_PER_S
 
 
 def test_nodes_that_cannot_reach_the_list_service_get_the_list_from_peers() -> None:
@@ -116,12 +116,12 @@
     simulation.at(15.0, simulation.stopped.clear)
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
-    assert simulation.service.peak_requests() <= RATE_TOLERANCE * ASKS
+    assert simulation.service.peak_requests() <= RATE_TOLERANCE * MAX_REQUESTS_PER_S
 
 
 def test_a_fleet_that_starts_from_an_old_cached_list_converges_on_the_present_nodes() -> None:
-    service = SimulatedListService(rate=ASKS)
-    known = list_of(80, revision=50, age=600.0)
+    service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
+    known = snapshot_of_nodes(80, revision=50, age=600.0)
     service.revision = 60
     service.deleted = [(60, key) for key in known.items][60:]  # reported to a watch from revision 50 on
     simulation = simulate(
