--- a/shelfhaven/failover/__init__.py
+++ b/shelfhaven/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones: load digests by gossip, and the traffic policy that the fleet agrees on."""
+"""Failover between zones: gossip of load digests, and the traffic policy that the fleet agrees on."""
--- a/shelfhaven/failover/actor.py
+++ b/shelfhaven/failover/actor.py
@@ -1,7 +1,7 @@
-"""The failover actor: one node's gossip over datagrams, and the traffic policy that the node follows.
+"""The failover actor: sends one node's gossip over UDP and follows the traffic policy.
 
-Owns the datagram socket, the timers and the tasks. What is sent and decided comes from `gossip.py`,
-`traffic_policy.py` and `controller.py`. No request waits for it.
+Owns the datagram socket, the timers and the tasks. `gossip.py` decides what is sent, `controller.py` and
+`traffic_policy.py` decide where traffic goes. Requests never wait for this actor.
 """
 
 from __future__ import annotations
@@ -27,31 +27,32 @@
 from shelfhaven.membership.signed_datagram import JsonValue, seal, unseal
 from shelfhaven.server.log import Log
 
-MEASURE_INTERVAL = 0.5  # seconds between two measurements of this node
-STORE_READ_INTERVAL = 2.0  # seconds, of a node that reads the store for all
-MAX_DATAGRAMS_PER_SECOND = 5000  # that are read: a quorum replica gets a few for each run with a key
-MIN_WAKE_DELAY = 0.002  # seconds, so that an overdue timer does not spin
-POLICY_PATH = "/zones"  # where peers post for the policy
+MEASURE_INTERVAL = 0.5  # seconds between two load measurements of this node
+STORE_READ_INTERVAL = 2.0  # seconds between two reads, on the nodes that read the consensus store
+# The excess is dropped. A quorum replica receives a few datagrams for each run with an idempotency key.
+MAX_DATAGRAMS_PER_SECOND = 5000
+MIN_WAKE_DELAY = 0.002  # seconds; keeps an overdue timer from causing a busy loop
+POLICY_PATH = "/zones"  # peers request the traffic policy here
 
 
 class _DatagramProtocol(asyncio.DatagramProtocol):
-    """Hands each datagram on, and logs the errors of the socket."""
+    """Passes each datagram to a callback and logs socket errors."""
 
     def __init__(self, receive: Callable[[bytes], None], log: Log) -> None:
         self.receive = receive
         self.log = log
 
     def datagram_received(self, data: bytes, _addr: object) -> None:
-        """A datagram came; its sender's address says nothing, as the signature does."""
+        """Handle a datagram; its signature, not its source address, authenticates the sender."""
         self.receive(data)
 
     def error_received(self, exc: Exception) -> None:
-        """An earlier send failed, most often as nobody listens at its address."""
+        """Log that an earlier send failed, usually because nothing listens at its address."""
         self.log.event("datagram", error=str(exc))
 
 
 class _RateLimit:
-    """Bounds the datagrams that are read in each second of the clock."""
+    """Limits the number of datagrams that are processed in each second of the clock."""
 
     def __init__(self, max_per_second: int) -> None:
         self.max_per_second = max_per_second
@@ -59,7 +60,7 @@
         self.received = 0
 
     def exceeded(self, now: float) -> bool:
-        """Count one datagram; whether it is one too many."""
+        """Count a datagram and return whether it is over the limit of the current second."""
         second = int(now)
         if second != self.second:
             self.second = second
@@ -70,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FailoverEndpoint:
-    """How this node talks to its peers."""
+    """The addresses, keys and timeouts with which this node communicates with its peers."""
 
-    listen: Address  # of the datagram socket
-    secret: bytes  # by which datagrams are signed
+    listen: Address  # address of the datagram socket
+    secret: bytes  # shared key that signs datagrams
     peer_rpc: PeerRpc
     rpc_timeout: float  # seconds
 
 
 class FailoverActor:
-    """Runs one node's gossip, and follows the traffic policy."""
+    """Runs the gossip of one node and keeps its traffic policy current."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         measure: Callable[[LoadDigest], LoadDigest],
         log: Log,
     ) -> None:
-        """`measure` returns the node's next digest, given the last one."""
+        """Create an actor; `measure` returns the node's next load digest, given the previous one."""
         self.endpoint = endpoint
         self.gossip = gossip
         self.measure = measure
@@ -98,9 +99,9 @@
         self.on_policy_change: Callable[[TrafficPolicy | None], None] = lambda _: None
         self.on_reservation_datagram: Callable[[JsonValue], None] = lambda _: None
         self.store: ConsensusStore | None = None
-        self.reads_store = False  # one of the few that read the store for all
-        self.counts: Counter[ActorCounter] = Counter()  # for the log
-        self.bytes_sent = 0  # for the log
+        self.reads_store = False  # only a few nodes read the store; the others learn the policy by gossip
+        self.counts: Counter[ActorCounter] = Counter()  # since the last `load_now`
+        self.bytes_sent = 0  # since the last `load_now`
         self._rate_limit = _RateLimit(MAX_DATAGRAMS_PER_SECOND)
         self._transport: asyncio.DatagramTransport | None = None
         self._wake_timer: asyncio.TimerHandle | None = None
@@ -110,10 +111,10 @@
         self._next_store_read = 0.0
         self._ended = False
 
-    # From start to end
+    # Lifecycle
 
     async def start(self) -> None:
-        """Open the socket and join the gossip."""
+        """Open the socket, register the peer routes and start measuring and gossiping."""
         self.endpoint.peer_rpc.routes |= {POLICY_PATH: self._answer_policy, NODE_VIEW_PATH: self._answer_view}
         listen = self.endpoint.listen
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -122,7 +123,7 @@
         self._measure()
 
     async def end(self) -> None:
-        """Stop for good."""
+        """Cancel all timers and tasks and close the socket; the actor cannot be started again."""
         self._ended = True
         for timer in (self._wake_timer, self._measure_timer):
             if timer:
@@ -132,37 +133,37 @@
         if self._transport:
             self._transport.close()
 
-    # What the rest of the node calls
+    # Interface to the rest of the node
 
     def update_members(self, locations: Mapping[str, MemberLocation]) -> None:
-        """Take over a new endpoint list."""
+        """Replace the gossip members by those of a new endpoint list."""
         self.gossip.update_members(locations)
 
     def zone_summaries(self) -> Mapping[str, ZoneSummary] | None:
-        """Zones as this node sees them; None while it takes itself to be unhealthy."""
+        """Return the zone summaries as this node sees them; None while it considers itself unhealthy."""
         return self.gossip.zone_summaries(time.monotonic())
 
     def current_policy(self) -> TrafficPolicy:
-        """The newest policy that the node knows."""
+        """Return the newest policy that this node has received, valid or expired."""
         return self.follower.policy
 
     def follow_policy(self, policy: TrafficPolicy) -> None:
-        """A policy was read or agreed on."""
+        """Adopt a policy that was read from the store or a peer, or just written, if it is newer."""
         now = time.monotonic()
-        before = self.follower.policy
+        previous = self.follower.policy
         if self.follower.accept(now, policy):
             self.gossip.policy_version = policy.version
-            if policy.epoch != before.epoch:
+            if policy.epoch != previous.epoch:
                 self._log_followed(policy)
         self._update_in_force(now)
 
     def rejects_work(self) -> bool:
-        """Whether this node is to report at its frontends that it takes no work."""
+        """Return whether this node reports at its frontends that it takes no work."""
         own = self.gossip.own_digest
         return self.in_force is not None and self.in_force.diverts_node(own.name, own.zone)
 
     def load_now(self) -> FailoverLoad:
-        """Figures for the log; the counters start anew."""
+        """Return the figures for the log, and reset the counters."""
         counts: ActorCounts = {}
         for counter, count in self.counts.items():
             counts[counter] = count
@@ -178,17 +179,19 @@
         }
 
     def _log_followed(self, policy: TrafficPolicy) -> None:
-        diverted = {zone: one for zone, one in policy.zones.items() if one.diverted_fraction}
+        diverted = {
+            zone: zone_policy for zone, zone_policy in policy.zones.items() if zone_policy.diverted_fraction
+        }
         self.log.event(
             "zones_followed",
             epoch=policy.epoch,
             by=policy.decided_by,
-            away={zone: round(one.diverted_fraction, 3) for zone, one in diverted.items()},
-            by_hand=[zone for zone, one in diverted.items() if not one.automatic],
+            away={zone: round(zone_policy.diverted_fraction, 3) for zone, zone_policy in diverted.items()},
+            by_hand=[zone for zone, zone_policy in diverted.items() if not zone_policy.automatic],
         )
 
     def _update_in_force(self, now: float) -> None:
-        """Tell who acts on the policy when another one is valid, or none any more."""
+        """Notify the listener when another policy takes effect or the current one expires."""
         in_force = self.follower.in_force(now)
         if in_force is not self.in_force:
             if in_force is None:
@@ -199,7 +202,7 @@
     # Datagrams
 
     def send(self, to: str, raw: object) -> None:
-        """Send a datagram; nobody waits for it."""
+        """Send a datagram without waiting for it; an invalid address is ignored."""
         try:
             address = parse_address(to)
         except ValueError:
@@ -215,7 +218,7 @@
             return
         try:
             raw = unseal(self.endpoint.secret, data)
-            if isinstance(raw, dict):  # gossip is a list
+            if isinstance(raw, dict):  # a gossip message is a list
                 self.on_reservation_datagram(raw)
             else:
                 self._perform(self.gossip.receive(time.monotonic(), decode_message(raw)))
@@ -254,15 +257,15 @@
             self._set_wake_timer()
             self._measure_timer = asyncio.get_running_loop().call_later(MEASURE_INTERVAL, self._measure)
 
-    def _start_task(self, work: Coroutine[object, object, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine[object, object, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # Policies and views
+    # Exchange of policies and views
 
     async def _fetch_policy(self, peer: str) -> None:
-        """Take over the policy that a peer follows."""
+        """Request the policy that a peer follows, and adopt it if it is newer."""
         rpc, own_address = self.endpoint.peer_rpc, self.gossip.own_digest.address
         try:
             answer = await rpc.post(peer, own_address, POLICY_PATH, b"{}", self.endpoint.rpc_timeout)
@@ -283,7 +286,7 @@
         return encode_node_view(name, summaries, self.follower.policy.version, valid_for)
 
     async def _read_store(self, store: ConsensusStore) -> None:
-        """Read the agreed policy, for this node and, by gossip, for all."""
+        """Read the agreed policy from the store; gossip of its version lets the other nodes fetch it."""
         try:
             policy, revision = await read_policy(store)
             if revision:
--- a/shelfhaven/failover/administration.py
+++ b/shelfhaven/failover/administration.py
@@ -1,7 +1,7 @@
-"""Commands of operators: show the traffic policy, and divert zones or give them back by hand.
+"""Operator commands: show the traffic policy, and divert or restore zones manually.
 
-Owns what each command changes and what it prints. Nothing is changed without the operator's consent, nor
-without comparing what was read: the controller or somebody else may have written in the meantime.
+Defines what each command changes and prints. A change is written only if the operator has confirmed it, and
+only over the policy that was read, since the controller or another operator may have written in the meantime.
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 from shelfhaven.failover.node_view import NodeView
 from shelfhaven.failover.traffic_policy import FailoverCause, TrafficPolicy, ZonePolicy, ZoneState
 
-MAX_ATTEMPTS = 5  # to write, against renewals by the controller
+MAX_ATTEMPTS = 5  # write attempts; the controller may renew the policy between them
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the commands."""
+    """The exit codes of the zone commands."""
 
     DONE = 0
     NOT_POSSIBLE = 2
     NO_ANSWER = 3
-    CHANGED_MEANWHILE = 4
+    CONFLICT = 4
 
 
 class PlannedChange(NamedTuple):
-    """What a command would write, and what it prints of that."""
+    """The policy that a command would write, and the lines that it prints."""
 
     policy: TrafficPolicy | None  # None: the change is not possible
     lines: list[str]
 
 
-class _Available(NamedTuple):
-    """Where a zone's traffic would go, by spare capacity, and how many concurrent runs that takes."""
+class _DiversionTargets(NamedTuple):
+    """The destinations of a zone's traffic and the concurrent runs that they have spare capacity for."""
 
-    destinations: dict[str, float]
+    destinations: dict[str, float]  # by zone; the fractions sum to 1
     capacity: float
 
 
 class ZoneAction(Enum):
-    """What an operator may ask for; the values are the words of the command line."""
+    """The actions of the zone commands; the values are their names on the command line."""
 
     SHOW = "show"
     DRAIN = "drain"
-    PIN = "pin"  # as it is, or with a fraction diverted
+    PIN = "pin"  # keep the controller from changing the zone, with a given fraction diverted
     RESTORE = "restore"
     FORGET = "forget"
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneCommand:
-    """What an operator asks for. `diverted_fraction` counts where traffic is diverted by hand."""
+    """A command from an operator. `diverted_fraction` is used only by `drain` and `pin`."""
 
     action: ZoneAction
     zone: str = ""
@@ -64,29 +64,29 @@
 
 
 def format_policy(policy: TrafficPolicy, view: NodeView) -> list[str]:
-    """A heading, one line per zone, and what holds for all."""
-    decided_by = policy.decided_by or "nobody yet"
-    lines = [f"epoch {policy.epoch}, decided by {decided_by}, number {policy.fencing_token}"]
+    """Format a policy: its origin, a table of the zones, and a note if there are no zone figures."""
+    decided_by = policy.decided_by or "no node yet"
+    lines = [f"epoch {policy.epoch}, decided by {decided_by}, fencing token {policy.fencing_token}"]
     if policy.halt_reason:
         lines.append(f"halted: {policy.halt_reason}")
     lines.append(f"{'zone':12} {'standing':16} {'away':>5} {'nodes':>6} {'load':>8} {'room':>8}  why")
     lines += [_format_zone(zone, policy.zone_policy(zone), view) for zone in _known_zones(policy, view)]
     if view.zones is None:
-        lines.append(f"{view.node or 'no node'} does not see the others just now")
+        lines.append(f"no zone figures: {view.node or 'the node'} is unhealthy or did not answer")
     return lines
 
 
 def drain_zone(zone: str, diverted_fraction: float, policy: TrafficPolicy, view: NodeView) -> PlannedChange:
-    """Divert a fraction of a zone's traffic, and keep the controller from changing that."""
+    """Divert a fraction of a zone's traffic, and pin the zone so that the controller leaves it alone."""
     policy = replace(policy, zones={other: policy.zone_policy(other) for other in _known_zones(policy, view)})
-    available = _available_elsewhere(zone, policy, view)
-    destinations = available.destinations
+    targets = _diversion_targets(zone, policy, view)
+    destinations = targets.destinations
     if diverted_fraction > 0 and not destinations:
-        return PlannedChange(None, [f"{zone}: there is no other zone that is open"])
+        return PlannedChange(None, [f"{zone}: no other zone is open"])
     before = policy.zone_policy(zone)
     load = before.load if before.diverted_fraction else view.figures(zone).load
     drained = ZonePolicy(
-        state=_state(diverted_fraction),
+        state=_state_for(diverted_fraction),
         cause=FailoverCause.OPERATORS,
         diverted_fraction=diverted_fraction,
         destinations=destinations if diverted_fraction else {},
@@ -97,19 +97,19 @@
     changed = policy.with_zone_policy(zone, drained)
     if violations := changed.violations():
         return PlannedChange(None, violations)
-    lines = [f"{zone}: {diverted_fraction:.2f} of its traffic goes elsewhere, until it is restored by hand"]
+    lines = [f"{zone}: {diverted_fraction:.2f} of its traffic is diverted until an operator restores it"]
     if diverted_fraction > 0:
-        lines += _describe_diversion(load * diverted_fraction, available)
+        lines += _describe_diversion(load * diverted_fraction, targets)
     else:
-        lines.append("no decider moves it")
+        lines.append("the controller will not divert its traffic")
     return PlannedChange(changed, lines)
 
 
 def restore_zone(zone: str, policy: TrafficPolicy) -> PlannedChange:
-    """Leave a zone to the controller again."""
+    """Unpin a zone, so that the controller manages it again."""
     before = policy.zone_policy(zone)
     if not before.pinned_by:
-        return PlannedChange(None, [f"{zone}: is not pinned; the decider moves it"])
+        return PlannedChange(None, [f"{zone}: not pinned; the controller already manages it"])
     restored = replace(
         before,
         state=ZoneState.RECOVERING if before.diverted_fraction else ZoneState.OPEN,
@@ -117,29 +117,32 @@
         pinned_by="",
         reason="given back by operators",
     )
-    steps = "nothing moves"
+    effect = "no traffic is diverted"
     if before.diverted_fraction:
-        steps = f"{before.diverted_fraction:.2f} of its traffic comes back by steps"
-    lines = [f"{zone}: {steps}; the decider moves it from now on"]
+        effect = f"{before.diverted_fraction:.2f} of its traffic returns in steps"
+    lines = [f"{zone}: {effect}; the controller manages it from now on"]
     return PlannedChange(policy.with_zone_policy(zone, restored), lines)
 
 
 def forget_zone(zone: str, policy: TrafficPolicy, view: NodeView) -> PlannedChange:
-    """Drop a zone that does not exist any more."""
+    """Remove a zone that no longer exists from the policy."""
     if zone not in policy.zones:
-        return PlannedChange(None, [f"{zone}: nothing is agreed on for it"])
+        return PlannedChange(None, [f"{zone}: the traffic policy has no entry for it"])
     figures = view.figures(zone)
     if figures.listed_nodes or figures.known_nodes:
-        return PlannedChange(None, [f"{zone}: it has nodes; drain it, and stop them first"])
+        return PlannedChange(None, [f"{zone}: it still has nodes; drain it and stop them first"])
     zones = {other: zone_policy for other, zone_policy in policy.zones.items() if other != zone}
     changed = replace(policy, epoch=policy.epoch + 1, renewal=0, zones=zones)
-    return PlannedChange(changed, [f"{zone}: counts no more; should it come back, it is open at once"])
+    return PlannedChange(
+        changed, [f"{zone}: removed from the traffic policy; if it comes back, it is open immediately"]
+    )
 
 
 async def apply_change(store: ConsensusStore, changed: TrafficPolicy, revision: int) -> CommandOutput:
-    """Write a policy in place of the one that was read.
+    """Write a policy in place of the one that was read at `revision`.
 
-    The controller renews it now and then: where the epoch is the same, nothing has been decided meanwhile.
+    The controller renews the policy periodically. If the epoch is still the one that was read, nothing has
+    been decided in the meantime, and the write is repeated over the renewed policy.
     """
     try:
         for _ in range(MAX_ATTEMPTS):
@@ -150,28 +153,28 @@
                 break
             changed = replace(changed, fencing_token=stored.fencing_token)
     except OutcomeUnknownError as error:
-        lines = [f"it is not clear whether that was done: {error}; look with 'show'"]
+        lines = [f"the outcome is unknown: {error}; check it with 'show'"]
         return CommandOutput(lines, ExitCode.NO_ANSWER)
     except ConsensusError as error:
-        return CommandOutput([f"not done: {error}"], ExitCode.NO_ANSWER)
-    lines = ["somebody has changed it meanwhile; nothing was done"]
-    return CommandOutput(lines, ExitCode.CHANGED_MEANWHILE)
+        return CommandOutput([f"not applied: {error}"], ExitCode.NO_ANSWER)
+    lines = ["the traffic policy was changed in the meantime; nothing was applied"]
+    return CommandOutput(lines, ExitCode.CONFLICT)
 
 
 async def run_command(store: ConsensusStore, view: NodeView, command: ZoneCommand) -> CommandOutput:
-    """Carry out what the command line asks. Raises ConsensusError, ValueError."""
+    """Execute an operator's command. Raises ConsensusError, ValueError."""
     policy, revision = await read_policy(store)
     if command.action is ZoneAction.SHOW:
         return CommandOutput(format_policy(policy, view), ExitCode.DONE)
     known = _known_zones(policy, view)
     if command.zone not in known:
-        lines = [f"no zone {command.zone} is known; there are: {', '.join(known) or 'none'}"]
+        lines = [f"unknown zone {command.zone}; known zones: {', '.join(known) or 'none'}"]
         return CommandOutput(lines, ExitCode.NOT_POSSIBLE)
     changed, lines = _plan(command, policy, view)
     if changed is None:
         return CommandOutput(lines, ExitCode.NOT_POSSIBLE)
     if not command.confirmed:
-        return CommandOutput([*lines, "nothing was changed; --yes does it"], ExitCode.DONE)
+        return CommandOutput([*lines, "nothing was changed; use --yes to apply this"], ExitCode.DONE)
     applied = await apply_change(store, changed, revision)
     return CommandOutput([*lines, *applied.lines], applied.exit_code)
 
@@ -209,29 +212,31 @@
     return ", ".join(f"{zone} {fraction:.2f}" for zone, fraction in sorted(fractions.items()))
 
 
-def _state(diverted_fraction: float) -> ZoneState:
+def _state_for(diverted_fraction: float) -> ZoneState:
     if diverted_fraction >= 1:
         return ZoneState.CLOSED
     return ZoneState.PARTIAL if diverted_fraction > 0 else ZoneState.OPEN
 
 
-def _available_elsewhere(zone: str, policy: TrafficPolicy, view: NodeView) -> _Available:
+def _diversion_targets(zone: str, policy: TrafficPolicy, view: NodeView) -> _DiversionTargets:
     others = [
         other for other in _known_zones(policy, view)
         if other != zone and policy.zone_policy(other).diverted_fraction < 1
     ]  # fmt: skip
     figures = {other: view.figures(other) for other in others}
-    spare = {other: max(0.0, one.capacity - one.load) for other, one in figures.items()}
+    spare = {
+        other: max(0.0, zone_figures.capacity - zone_figures.load) for other, zone_figures in figures.items()
+    }
     total = sum(spare.values())
     if total > 0:
-        return _Available({other: runs / total for other, runs in spare.items() if runs > 0}, total)
-    return _Available({other: 1 / len(others) for other in others}, 0.0)
+        return _DiversionTargets({other: runs / total for other, runs in spare.items() if runs > 0}, total)
+    return _DiversionTargets({other: 1 / len(others) for other in others}, 0.0)
 
 
-def _describe_diversion(load: float, available: _Available) -> list[str]:
-    capacity = available.capacity
-    to = ", ".join(f"{zone} {fraction:.2f}" for zone, fraction in available.destinations.items())
-    lines = [f"{load:.1f} runs at a time go to {to}, which have room for {capacity:.1f}"]
+def _describe_diversion(load: float, targets: _DiversionTargets) -> list[str]:
+    capacity = targets.capacity
+    to = ", ".join(f"{zone} {fraction:.2f}" for zone, fraction in targets.destinations.items())
+    lines = [f"{load:.1f} concurrent runs go to {to}, which have spare capacity for {capacity:.1f}"]
     if load > capacity:
-        lines.append("that is more than they have room for: they will refuse what does not fit")
+        lines.append("this exceeds their spare capacity: they will reject the excess")
     return lines
--- a/shelfhaven/failover/controller_task.py
+++ b/shelfhaven/failover/controller_task.py
@@ -1,7 +1,8 @@
-"""The singleton task that runs the failover controller: one node per fleet decides and has it agreed on.
+"""The singleton task that runs the failover controller on one node of the fleet.
 
-Owns the policy's way into the consensus store. It never overwrites a policy that it has not read, nor one
-with a larger fencing token: every write compares the revision that was read, in the same atomic step.
+Reads and writes the traffic policy in the consensus store. A write never replaces a policy that this task has
+not read or that has a larger fencing token: the fencing token is checked after the read, and the write is a
+compare-and-set on the revision that was read.
 """
 
 from __future__ import annotations
@@ -26,38 +27,38 @@
 from shelfhaven.server.log import Log
 
 DECIDE_INTERVAL = 0.5  # seconds
-STORE_ERROR_DELAY = 2.0  # seconds after the store gave no answer
+STORE_ERROR_DELAY = 2.0  # seconds to wait after a failed read or write
 
 
 class FleetView(Protocol):
-    """What the controller needs of the node that it runs on."""
+    """The part of the failover actor that the controller task uses."""
 
     def zone_summaries(self) -> Mapping[str, ZoneSummary] | None:
-        """Zones as this node sees them; None while it takes itself to be unhealthy."""
+        """Return the zone summaries as this node sees them; None while it considers itself unhealthy."""
 
     def current_policy(self) -> TrafficPolicy:
-        """The newest policy that the node knows."""
+        """Return the newest policy that this node has received, valid or expired."""
 
     def follow_policy(self, policy: TrafficPolicy) -> None:
-        """A policy was read or agreed on."""
+        """Adopt a policy that was read from or written to the store, if it is newer."""
 
 
 class NodeIdentity(NamedTuple):
-    """Which node the controller runs on."""
+    """The node that the controller runs on."""
 
     name: str
     zone: str
 
 
 class StoredPolicy(NamedTuple):
-    """A policy as the consensus store has it."""
+    """A policy from the consensus store."""
 
     policy: TrafficPolicy
-    revision: int  # 0: there is none yet
+    revision: int  # 0: the store has no policy yet
 
 
 async def read_policy(store: ConsensusStore) -> StoredPolicy:
-    """The agreed policy; an empty one where there is none. Raises ConsensusError, ValueError."""
+    """Read the agreed policy; an empty one if the store has none. Raises ConsensusError, ValueError."""
     entry = (await store.read([POLICY_KEY])).items.get(POLICY_KEY)
     if entry is None:
         return StoredPolicy(TrafficPolicy(), 0)
@@ -65,14 +66,17 @@
 
 
 async def write_policy(store: ConsensusStore, policy: TrafficPolicy, revision: int) -> bool:
-    """Replace the policy of a revision; False: it was changed in the meantime. Raises ConsensusError."""
+    """Replace the policy if the store still has it at `revision`; return whether it does.
+
+    Raises ConsensusError.
+    """
     change = CompareAndSet({POLICY_KEY: revision}, {POLICY_KEY: Put(encode_policy(policy))})
     outcome = await store.compare_and_set(change)
     return outcome.applied
 
 
 class FailoverTask(LeaderTask):
-    """Decides while the lease is held."""
+    """Decides on the traffic policy while this node holds the lease."""
 
     def __init__(
         self,
@@ -89,7 +93,7 @@
         self.node = node
         self.log = log
         self.clock = clock
-        self.last_error = ""  # so that each is logged once
+        self.last_error = ""  # the last error logged; a repeated one is not logged again
 
     async def run(self, lease: LeaderLease) -> None:
         """Decide at intervals until the lease is lost."""
@@ -107,14 +111,16 @@
                 return
 
     async def decide_once(self, permit: Permit) -> None:
-        """Read the policy, decide, and write what changes."""
+        """Read the policy, let the controller decide, and write the next policy if there is one."""
         stored, revision = await read_policy(self.store)
         if stored.fencing_token > permit.fencing_token:
             raise FencedOffError(stored.fencing_token)
         now = self.clock()
         summaries = self.fleet_view.zone_summaries()
         if self.controller.should_yield(now, self.node.zone, summaries):
-            raise TaskFailedError("this zone reaches too few of the others to decide for them")
+            raise TaskFailedError(
+                "this node is unhealthy, or its zone reaches too few other zones to decide for them"
+            )
         policy, base = self.controller.next_policy(
             now, stored, self.fleet_view.current_policy(), summaries, permit.fencing_token
         )
@@ -123,7 +129,7 @@
             return
         policy = replace(policy, decided_by=self.node.name)
         if permit.time_left() <= 0:
-            raise LeaseUncertainError("the lease may be over")
+            raise LeaseUncertainError("the lease may have expired")
         if await write_policy(self.store, policy, revision):
             self.controller.policy_written(now, policy)
             self.fleet_view.follow_policy(policy)
--- a/shelfhaven/failover/node_view.py
+++ b/shelfhaven/failover/node_view.py
@@ -1,6 +1,6 @@
-"""What a running node sees of the zones, as it answers a peer or the command line.
+"""A running node's view of the zones, as returned to a peer or the command line.
 
-Owns the JSON of that answer, both ways.
+Encodes and decodes the JSON of that response.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from shelfhaven.failover.load_digest import ClassLoad
 from shelfhaven.failover.traffic_policy import PolicyVersion
 
-NODE_VIEW_PATH = "/zones/seen"  # where peers post for it
+NODE_VIEW_PATH = "/zones/seen"  # peers request the view here
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneFigures:
-    """What the command line shows of one zone; 0 where it is not known."""
+    """The figures of one zone that the command line prints; 0 where unknown."""
 
     listed_nodes: float = 0.0
     known_nodes: float = 0.0
@@ -30,38 +30,41 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """What one node sees; `zones` is None while it takes itself to be unhealthy, or where none answered."""
+    """One node's view of the zones.
+
+    `zones` is None if the node considers itself unhealthy or did not answer.
+    """
 
     node: str = ""
     zones: Mapping[str, ZoneFigures] | None = None
 
     def zone_names(self) -> set[str]:
-        """The zones that it sees."""
+        """Return the names of the zones in this view."""
         return set(self.zones or {})
 
     def figures(self, zone: str) -> ZoneFigures:
-        """What it sees of a zone."""
+        """Return the figures of a zone; zeros if the view does not contain it."""
         return (self.zones or {}).get(zone, ZoneFigures())
 
 
 def encode_node_view(
-    node: str, summaries: Mapping[str, ZoneSummary] | None, followed: PolicyVersion, valid_for: float
+    node: str, summaries: Mapping[str, ZoneSummary] | None, policy_version: PolicyVersion, valid_for: float
 ) -> bytes:
-    """The answer of a node that follows a policy, which is valid for so many more seconds."""
+    """Encode a node's view, the version of the policy that it follows, and the seconds until that expires."""
     zones = None
     if summaries is not None:
         zones = {zone: _encode_summary(summary) for zone, summary in summaries.items()}
     return orjson.dumps({
         "node": node,
         "zones": zones,
-        "follows": list(followed),
+        "follows": list(policy_version),
         "holds_on": valid_for,
     })  # fmt: skip
 
 
-def decode_node_view(answer: bytes) -> NodeView:
-    """The view in an answer. Raises ValueError, KeyError or TypeError where it is none."""
-    raw = orjson.loads(answer)
+def decode_node_view(response: bytes) -> NodeView:
+    """Decode a node's view. Raises ValueError, KeyError or TypeError if it is malformed."""
+    raw = orjson.loads(response)
     node = str(raw["node"])
     zones = raw["zones"]
     if zones is None:
@@ -70,7 +73,7 @@
 
 
 class _RawClassLoad(TypedDict):
-    """The keys of a class in the JSON."""
+    """The JSON object of one request class."""
 
     failing: float
     load: float
@@ -78,7 +81,7 @@
 
 
 class _RawSummary(TypedDict):
-    """The keys of a zone in the JSON."""
+    """The JSON object of one zone."""
 
     zone: str
     listed: int
--- a/shelfhaven/failover/traffic_policy.py
+++ b/shelfhaven/failover/traffic_policy.py
@@ -1,8 +1,8 @@
-"""The traffic policy: what fraction of each zone's traffic goes to which others, agreed on by the fleet.
+"""The traffic policy: what fraction of each zone's traffic goes to which other zones, agreed on by the fleet.
 
-Owns the policy's form, its encoding in the consensus store, and the invariants that hold whoever writes it:
-fractions from 0 to 1, versions that only grow, never every zone closed. What is written is decided by
-`controller.py` and by operators (`administration.py`).
+Defines the policy, its encoding in the consensus store, and the invariants that every writer must keep:
+fractions lie between 0 and 1, versions only increase, and at least one zone is not closed. The failover
+controller (`controller.py`) and operators (`administration.py`) decide what is written.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 from shelfhaven.routing.hash_spread import hash_fraction
 
-POLICY_KEY = "zones/orders"  # of the policy in the consensus store
+POLICY_KEY = "zones/orders"  # in the consensus store
 MAX_REASON_LENGTH = 200  # characters
 MAX_ZONES = 64
-MAX_CLASSES = 64  # of which a zone's policy speaks
+MAX_CLASSES = 64  # in the policy of one zone
 MAX_VALID_FOR = 1e6  # seconds
-SUM_TOLERANCE = 1e-3  # of destinations, whose fractions are rounded in the store
+SUM_TOLERANCE = 1e-3  # for the sum of destination fractions, which are stored rounded
 
 
 class ZoneState(Enum):
-    """Whether a zone keeps its traffic; the values are stored and printed."""
+    """How much of its traffic a zone keeps; the values are stored and printed."""
 
     OPEN = "open"
     PARTIAL = "shunned in part"
@@ -36,7 +36,8 @@
 class FailoverCause(Enum):
     """Why a zone's traffic is diverted; the values are stored and printed.
 
-    A zone that others do not reach goes on serving whoever reaches it: only the others send nothing there.
+    A zone that is unreachable for the other zones keeps serving the callers that reach it; only the other
+    zones stop sending to it.
     """
 
     NONE = ""
@@ -53,107 +54,109 @@
 class ZonePolicy:
     """The policy for one zone.
 
-    `diverted_by_class` is set where classes are not all diverted alike: classes that it does not name stay,
-    and `diverted_fraction` is what the diverted ones are of the zone's whole load.
+    `diverted_by_class` is set if the classes are not all diverted to the same extent. Classes that are not in
+    it are not diverted, and `diverted_fraction` is then the diverted fraction of the zone's whole load.
     """
 
     state: ZoneState = ZoneState.OPEN
     cause: FailoverCause = FailoverCause.NONE
     diverted_fraction: float = 0.0  # of the zone's traffic
-    destinations: Mapping[str, float] = field(default_factory=dict)  # by zone, fractions that sum to 1
-    load: float = 0.0  # concurrent runs before anything was diverted
-    failed_recoveries: int = 0  # times that it was recovering and had to be diverted again
-    pinned_by: str = ""  # who forbade the controller to change it
+    destinations: Mapping[str, float] = field(default_factory=dict)  # by zone; the fractions sum to 1
+    load: float = 0.0  # concurrent runs in the zone before any diversion
+    failed_recoveries: int = 0  # times that traffic was diverted again during a recovery
+    pinned_by: str = ""  # who pinned the zone, so that the controller leaves it alone; empty: not pinned
     reason: str = ""
     diverted_by_class: Mapping[str, float] = field(default_factory=dict)
 
     @property
     def automatic(self) -> bool:
-        """Whether the controller diverted it rather than an operator."""
+        """Return whether the controller, not an operator, diverted the zone."""
         return self.cause in AUTOMATIC_CAUSES
 
     def diverted_fraction_of(self, class_name: str) -> float:
-        """The fraction of a class's traffic that goes elsewhere."""
+        """Return the fraction of a class's traffic that is diverted."""
         if not self.diverted_by_class:
             return self.diverted_fraction
         return self.diverted_by_class.get(class_name, 0.0)
 
 
 class PolicyVersion(NamedTuple):
-    """Orders traffic policies."""
+    """The version of a traffic policy: a greater one replaces a smaller one."""
 
-    epoch: int  # grows with each change
-    renewal: int  # grows with each renewal of an epoch
+    epoch: int  # increases with each change
+    renewal: int  # increases with each renewal within an epoch
 
 
-NO_POLICY = PolicyVersion(0, 0)  # of a node that has seen none yet
+NO_POLICY = PolicyVersion(0, 0)  # version on a node that has not received a policy yet
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficPolicy:
-    """The policies of all zones; valid for `valid_for` seconds unless it is renewed."""
+    """The policies of all zones; expires after `valid_for` seconds unless renewed."""
 
     epoch: int = 0
     renewal: int = 0
-    fencing_token: int = 0  # of the controller's lease; 0: no controller has written it
+    fencing_token: int = 0  # of the lease under which it was written; 0: written by no controller
     decided_by: str = ""
     valid_for: float = 60.0
-    halt_reason: str = ""  # why no zone is diverted for failing at present
+    halt_reason: str = ""  # why no zone is diverted for failures at present; empty: diversion is not halted
     zones: Mapping[str, ZonePolicy] = field(default_factory=dict)
 
     @property
     def version(self) -> PolicyVersion:
-        """Tells a newer policy from an older one."""
+        """The version, by which policies are compared."""
         return PolicyVersion(self.epoch, self.renewal)
 
     def zone_policy(self, zone: str) -> ZonePolicy:
-        """The policy for a zone; open where nothing is said."""
+        """Return the policy for a zone; a zone without an entry is open."""
         return self.zones.get(zone, ZonePolicy())
 
     def diverts_node(self, node: str, zone: str) -> bool:
-        """Whether a node of a zone reports at its frontends that it takes no work.
+        """Return whether a node of a zone reports at its frontends that it takes no work.
 
-        The nodes are the same as long as the fraction is, and a subset of them once it shrinks. A zone that
-        others do not reach goes on with what reaches it, and single classes are diverted by the pools.
+        Nodes are selected by a hash of their name: an unchanged fraction selects the same nodes, a smaller
+        one a subset of them. No node is selected in an unreachable zone, which keeps serving the callers that
+        reach it, or if only some classes are diverted, since the pools divert single classes.
         """
         policy = self.zone_policy(zone)
-        left_to_others = policy.cause is FailoverCause.UNREACHABLE or policy.diverted_by_class
-        diverted = 0.0 if left_to_others else policy.diverted_fraction
+        nodes_keep_working = policy.cause is FailoverCause.UNREACHABLE or policy.diverted_by_class
+        diverted = 0.0 if nodes_keep_working else policy.diverted_fraction
         return hash_fraction(node, f"zones/{zone}") < diverted
 
     def with_zone_policy(self, zone: str, policy: ZonePolicy) -> TrafficPolicy:
-        """The next epoch, in which one zone has another policy."""
+        """Return the policy of the next epoch, with a new policy for one zone."""
         return replace(self, epoch=self.epoch + 1, renewal=0, zones={**self.zones, zone: policy})
 
     def violations(self) -> list[str]:
-        """The invariants that this policy breaks, in words."""
-        found = []
+        """Return a description of each invariant that this policy violates."""
+        problems = []
         for zone, policy in self.zones.items():
-            found += _zone_violations(zone, policy)
+            problems += _zone_violations(zone, policy)
         if self.zones and all(
             policy.diverted_fraction >= 1 and not policy.diverted_by_class for policy in self.zones.values()
         ):
-            found.append("every zone is closed")
-        return found
+            problems.append("every zone is closed")
+        return problems
 
 
 def _zone_violations(zone: str, policy: ZonePolicy) -> list[str]:
-    found = []
+    problems = []
     fractions = (policy.diverted_fraction, *policy.diverted_by_class.values())
     if not all(0 <= fraction <= 1 for fraction in fractions):
-        found.append(
-            f"{zone}: away {policy.diverted_fraction:g}, {dict(policy.diverted_by_class)}: not parts"
+        problems.append(
+            f"{zone}: diverted {policy.diverted_fraction:g}, by class {dict(policy.diverted_by_class)}: "
+            "fractions must be between 0 and 1"
         )
     destinations = policy.destinations
     if any(fraction < 0 for fraction in destinations.values()) or zone in destinations:
-        found.append(f"{zone}: goes to itself, or to a part below 0")
+        problems.append(f"{zone}: the zone is its own destination, or a destination has a negative fraction")
     if destinations and abs(sum(destinations.values()) - 1) > SUM_TOLERANCE:
-        found.append(f"{zone}: the parts that go elsewhere are not 1 together")
-    return found
+        problems.append(f"{zone}: the destination fractions do not sum to 1")
+    return problems
 
 
 class _RawZonePolicy(TypedDict):
-    """The keys of a zone in the stored JSON."""
+    """The stored JSON object of one zone."""
 
     standing: str
     cause: str
@@ -167,7 +170,7 @@
 
 
 def encode_policy(policy: TrafficPolicy) -> bytes:
-    """The value under which the consensus store keeps a policy."""
+    """Encode a policy for the consensus store and for peers."""
     raw = {
         "epoch": policy.epoch,
         "beat": policy.renewal,
@@ -195,7 +198,7 @@
 
 
 def decode_policy(value: bytes) -> TrafficPolicy:
-    """The policy that a stored value holds. Raises ValueError with what is wrong."""
+    """Decode a policy. Raises ValueError if it is malformed, out of bounds or violates an invariant."""
     try:
         raw = orjson.loads(value)
         policy = TrafficPolicy(
@@ -208,18 +211,18 @@
             halt_reason=str(raw["halted"]),
         )
     except (KeyError, TypeError, AttributeError, ValueError) as error:
-        raise ValueError(f"no document of zones: {error}") from None
+        raise ValueError(f"malformed traffic policy: {error}") from None
     if not _within_bounds(policy):
-        raise ValueError("a document of zones out of its bounds")
+        raise ValueError("traffic policy out of bounds")
     if violations := policy.violations():
         raise ValueError("; ".join(violations))
     return policy
 
 
 def _within_bounds(policy: TrafficPolicy) -> bool:
-    classes_fit = all(len(zone.diverted_by_class) <= MAX_CLASSES for zone in policy.zones.values())
-    times_fit = 0 < policy.valid_for < MAX_VALID_FOR and policy.epoch >= 0
-    return classes_fit and times_fit and len(policy.zones) <= MAX_ZONES
+    class_counts_valid = all(len(zone.diverted_by_class) <= MAX_CLASSES for zone in policy.zones.values())
+    numbers_valid = 0 < policy.valid_for < MAX_VALID_FOR and policy.epoch >= 0
+    return class_counts_valid and numbers_valid and len(policy.zones) <= MAX_ZONES
 
 
 def _decode_zone(raw: Mapping[str, Any]) -> ZonePolicy:
@@ -241,10 +244,10 @@
 
 
 class PolicyFollower:
-    """The policy that one node acts on.
+    """Tracks the policy that one node follows.
 
-    Never an older one after a newer, and none past its end. The end is counted by the node's own clock from
-    when it first saw that version.
+    It never goes back to an older version and ignores a policy after its expiry. The validity is measured on
+    the node's own clock, from when the node first received that version.
     """
 
     def __init__(self) -> None:
@@ -252,7 +255,7 @@
         self.expires_at = float("-inf")
 
     def accept(self, now: float, policy: TrafficPolicy) -> bool:
-        """Take over a policy that was read; whether it is newer than the one before."""
+        """Adopt a policy if it is newer than the current one; return whether it is."""
         if policy.version <= self.policy.version:
             return False
         self.policy = policy
@@ -260,5 +263,5 @@
         return True
 
     def in_force(self, now: float) -> TrafficPolicy | None:
-        """The policy that is valid now; None: each node decides for itself."""
+        """Return the policy if it has not expired; None: each node decides for itself where its runs go."""
         return self.policy if now < self.expires_at else None
--- a/tests/failover/test_controller_task.py
+++ b/tests/failover/test_controller_task.py
@@ -1,4 +1,4 @@
-"""The singleton task that runs the controller."""
+"""Tests of the singleton task that runs the failover controller."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class NodeStub:
-    """The node that the controller runs on."""
+    """Stub of the failover actor on the controller's node."""
 
     def __init__(self) -> None:
         self.policy = TrafficPolicy()
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class ManualClock:
-    """A clock that a test sets."""
+    """A clock whose time is set by the test."""
 
     now: float = 0.0
 
@@ -49,7 +49,7 @@
 
 
 def failover_task(store: InProcessStore, node_stub: NodeStub, zone: str, clock: ManualClock) -> FailoverTask:
-    """The task of the node n1 in a zone."""
+    """Return the failover task of node n1 in a zone."""
     return FailoverTask(
         store, node_stub.fleet.controller, node_stub, NodeIdentity("n1", zone), Log("test"), clock
     )
@@ -65,7 +65,7 @@
         assert (first.fencing_token, first.decided_by, first.version) == (7, "n1", (0, 1))
         clock.now = QUICK_SETTINGS.policy_ttl / 4 - 0.1
         await task.decide_once(permit)
-        assert (await read_policy(store))[1] == revision, "nothing is new, and the policy is still valid"
+        assert (await read_policy(store))[1] == revision, "nothing changed, and no renewal is due"
         clock.now = QUICK_SETTINGS.policy_ttl / 4
         await task.decide_once(permit)
         assert (await read_policy(store))[0].version == (0, 2)
@@ -73,14 +73,14 @@
         for _ in range(4):
             clock.now += 1.0
             await task.decide_once(permit)
-        kept, revision = await read_policy(store)
-        assert kept.zone_policy("a").diverted_fraction == 1.0
-        assert node_stub.policy.epoch == kept.epoch
-        with pytest.raises(LeaseUncertainError):  # the lease is over: nothing is written
+        stored, revision = await read_policy(store)
+        assert stored.zone_policy("a").diverted_fraction == 1.0
+        assert node_stub.policy.epoch == stored.epoch
+        with pytest.raises(LeaseUncertainError):  # the lease has expired: nothing is written
             await task.decide_once(Permit("zones", 9, lambda: 0.0))
         assert (await read_policy(store))[1] == revision
         await task.decide_once(Permit("zones", 9, lambda: 1.0))
-        with pytest.raises(FencedOffError) as raised:  # an earlier leader wakes
+        with pytest.raises(FencedOffError) as raised:  # an earlier leader resumes with its old token
             await task.decide_once(permit)
         assert raised.value.highest == 9
         assert (await read_policy(store))[0].fencing_token == 9
@@ -106,12 +106,12 @@
             await task.decide_once(permit)
         clock.now += 1.0
         node_stub.fleet.change("b", reachability=REACHABILITY["b"])
-        await task.decide_once(permit)  # half of the others are enough
+        await task.decide_once(permit)  # reaching half of the other zones is enough
 
     asyncio.run(check())
 
 
-def test_emptied_store_goes_on_from_the_followed_policy() -> None:
+def test_emptied_store_is_refilled_from_the_followed_policy() -> None:
     async def check() -> None:
         node_stub = NodeStub()
         node_stub.policy = TrafficPolicy(
@@ -124,7 +124,7 @@
         store = InProcessStore()
         task = failover_task(store, node_stub, "b", ManualClock())
         await task.decide_once(Permit("zones", 8, lambda: 1.0))
-        kept, _ = await read_policy(store)
-        assert (kept.epoch, kept.fencing_token, kept.zone_policy("a").diverted_fraction) == (6, 8, 0.5)
+        stored, _ = await read_policy(store)
+        assert (stored.epoch, stored.fencing_token, stored.zone_policy("a").diverted_fraction) == (6, 8, 0.5)
 
     asyncio.run(check())
--- a/tests/failover/test_node_view.py
+++ b/tests/failover/test_node_view.py
@@ -1,4 +1,4 @@
-"""What a node tells of the zones to peers and the command line."""
+"""Tests of the node view that peers and the command line receive."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from shelfhaven.failover.traffic_policy import PolicyVersion
 
 
-def test_view_keeps_the_keys_of_its_json() -> None:
+def test_node_view_has_stable_json_keys() -> None:
     summary = ZoneSummary(
         "a", 3, 2, 20.0, 4.0, 0.1, 0.2, 0.9, {"b": 0.5}, {"look": ClassLoad(0.1, 2.0, 30.0)}
     )
-    answer = encode_node_view("n1", {"a": summary}, PolicyVersion(4, 7), 2.5)
-    assert orjson.loads(answer) == {
+    response = encode_node_view("n1", {"a": summary}, PolicyVersion(4, 7), 2.5)
+    assert orjson.loads(response) == {
         "node": "n1",
         "zones": {
             "a": {
@@ -35,10 +35,10 @@
         "follows": [4, 7],
         "holds_on": 2.5,
     }
-    assert decode_node_view(answer) == NodeView("n1", {"a": ZoneFigures(3.0, 2.0, 20.0, 4.0)})
+    assert decode_node_view(response) == NodeView("n1", {"a": ZoneFigures(3.0, 2.0, 20.0, 4.0)})
 
 
-def test_unhealthy_node_has_no_zones() -> None:
+def test_view_of_an_unhealthy_node_has_no_zones() -> None:
     view = decode_node_view(encode_node_view("n1", None, PolicyVersion(0, 0), 0.0))
     assert view == NodeView("n1", None)
     assert view.zone_names() == set()
@@ -46,8 +46,8 @@
 
 
 @pytest.mark.parametrize(
-    "answer", [b"", b"[]", b"{}", b'{"node":"n1"}', b'{"node":"n1","zones":{"a":{"load":"x"}}}']
+    "response", [b"", b"[]", b"{}", b'{"node":"n1"}', b'{"node":"n1","zones":{"a":{"load":"x"}}}']
 )
-def test_malformed_view_is_rejected(answer: bytes) -> None:
+def test_malformed_view_is_rejected(response: bytes) -> None:
     with pytest.raises((ValueError, KeyError, TypeError)):
-        decode_node_view(answer)
+        decode_node_view(response)
--- a/tests/failover/test_traffic_policy.py
+++ b/tests/failover/test_traffic_policy.py
@@ -1,4 +1,4 @@
-"""The traffic policy: encoding, invariants, following."""
+"""Tests of the traffic policy: encoding, invariants, and the policy that a node follows."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
     policy = TrafficPolicy(7, 3, 99, "n1", 60.0, "", {"a": zone_policy, "b": ZonePolicy(), "c": ZonePolicy()})
     assert decode_policy(encode_policy(policy)) == policy
     for value in (b"", b"[]", b"{}", b'{"epoch":1}', encode_policy(policy)[:-5]):
-        with pytest.raises(ValueError, match="no document"):
+        with pytest.raises(ValueError, match="malformed traffic policy"):
             decode_policy(value)
     with pytest.raises(ValueError, match="every zone is closed"):
         decode_policy(encode_policy(TrafficPolicy(1, zones={"a": ZonePolicy(diverted_fraction=1.0)})))
-    with pytest.raises(ValueError, match="not 1 together"):
+    with pytest.raises(ValueError, match="do not sum to 1"):
         decode_policy(
             encode_policy(
                 TrafficPolicy(1, zones={"a": ZonePolicy(destinations={"b": 0.4}), "b": ZonePolicy()})
             )
         )
-    with pytest.raises(ValueError, match="goes to itself"):
+    with pytest.raises(ValueError, match="its own destination"):
         decode_policy(
             encode_policy(
                 TrafficPolicy(1, zones={"a": ZonePolicy(destinations={"a": 1.0}), "b": ZonePolicy()})
@@ -40,7 +40,7 @@
         )
 
 
-def test_stored_policy_keeps_its_bytes() -> None:
+def test_stored_policy_has_a_stable_encoding() -> None:
     zone_policy = ZonePolicy(
         state=ZoneState.RECOVERING,
         cause=FailoverCause.FAILING,
@@ -78,7 +78,9 @@
     assert follower.in_force(0.0) is None
     assert follower.accept(1.0, TrafficPolicy(5, 1, valid_for=10.0))
     assert not follower.accept(2.0, TrafficPolicy(4, 9, valid_for=10.0))
-    assert not follower.accept(2.0, TrafficPolicy(5, 1, valid_for=10.0)), "the same version renews nothing"
+    assert not follower.accept(
+        2.0, TrafficPolicy(5, 1, valid_for=10.0)
+    ), "the same version does not extend the validity"
     assert follower.in_force(10.9) == TrafficPolicy(5, 1, valid_for=10.0)
     assert follower.in_force(11.0) is None
     assert follower.accept(12.0, TrafficPolicy(5, 2, valid_for=10.0))
