--- a/shelfhaven/failover/controller.py
+++ b/shelfhaven/failover/controller.py
@@ -1,19 +1,19 @@
-"""The failover controller: decides which zones' traffic is diverted, how much of it, and where to.
-
-A pure state machine. It is told the zones' summaries and the policy in force, with the time, and returns the
-next policy or None. `controller_task.py` runs it on the node that holds the lease.
-
-The rules, each with a test that fails without it:
-
-- A zone is *unreachable* when most of the zones that reach others do not reach it (a zone that reaches nobody
-  is no witness), and when this controller has seen it and no node of it is listed any more, until operators
-  forget it.
-- It is *failing* or *overloaded* only compared with the other zones. Zones that fail one after another point
-  at a release: then nothing is diverted for failing, as that would not help.
-- Traffic is diverted by steps, one at a time per region, no more than the other zones have capacity for less
-  a reserve (`traffic_moves.py`); an unreachable zone's all at once.
-- Never the last zone, nor more than a stated fraction of the whole load.
-- Traffic comes back by steps (`recovery_ramp.py`).
+"""The failover controller: decides which zones' traffic is diverted, how much of it, and where it goes.
+
+A pure state machine: from the time, the zone summaries and the current policy it computes the next policy, or
+None if nothing changes. `controller_task.py` runs it on the node that holds the lease.
+
+The rules, each covered by a test that fails without it:
+
+- A zone is *unreachable* if most of the zones that reach others do not reach it (the testimony of a zone that
+  reaches no other zone does not count). It is also unreachable if this controller has seen it before and none
+  of its nodes is listed any more, until operators remove it with `forget`.
+- A zone is *failing* or *overloaded* only in comparison with the other zones. Zones that fail one after
+  another suggest a faulty release; then no traffic is diverted for failures, as that would not help.
+- Traffic is diverted in steps, one at a time per region, and no more than the other zones have capacity for
+  less a reserve (`traffic_moves.py`). The traffic of an unreachable zone is diverted all at once.
+- At least one zone stays open, and the fleet diverts at most a configured fraction of its load.
+- Traffic returns in steps (`recovery_ramp.py`).
 """
 
 from __future__ import annotations
@@ -32,32 +32,33 @@
 from shelfhaven.failover.traffic_moves import MovePlanner
 from shelfhaven.failover.traffic_policy import FailoverCause, TrafficPolicy, ZonePolicy
 
-RENEWALS_PER_TTL = 4.0  # so that a policy outlives a few failed renewals
+RENEWALS_PER_TTL = 4.0  # several renewals may fail before the policy expires
+# While diversion is halted, no traffic is diverted for these causes.
 HALTED_CAUSES = (FailoverCause.FAILING, FailoverCause.OVERLOADED)
 
 
 class PolicyProposal(NamedTuple):
-    """What the controller wants to be agreed on."""
+    """The policy that the controller proposes to write."""
 
-    policy: TrafficPolicy | None  # None: nothing is to be written
-    base: TrafficPolicy  # what it was made from
+    policy: TrafficPolicy | None  # None: nothing to write
+    base: TrafficPolicy  # the policy that it was derived from
 
 
 class _Urgency(NamedTuple):
-    """Sorts zones: the smallest is moved first."""
+    """Sort key of zones; the zone with the smallest key is handled first."""
 
     is_reachable: bool
-    since: float  # of the evidence
+    since: float  # time of the first evidence of the present cause
     zone: str
 
 
 @dataclass(slots=True)
 class FailoverController:
-    """The state of one node while it holds the lease. `regions` tells each zone's region."""
+    """The controller of the node that holds the lease. `regions` maps each zone to its region."""
 
     settings: FailoverSettings
     regions: Mapping[str, str] = field(default_factory=dict)
-    last_moves: dict[str, float] = field(default_factory=dict)  # by region: when a zone there was moved
+    last_move_times: dict[str, float] = field(default_factory=dict)  # by region
     renew_at: float = -math.inf
     isolated_since: float = math.inf
     evidence: FaultEvidence = field(init=False)
@@ -66,7 +67,7 @@
         self.evidence = FaultEvidence(self.settings)
 
     def reconfigure(self, settings: FailoverSettings) -> None:
-        """Go on with other settings."""
+        """Apply new settings."""
         self.settings = settings
         self.evidence.settings = settings
 
@@ -78,37 +79,37 @@
         summaries: Mapping[str, ZoneSummary] | None,
         fencing_token: int,
     ) -> PolicyProposal:
-        """What is to be agreed on in place of the store's policy, if anything.
+        """Return the policy to write in place of the stored one, if any.
 
-        `followed` is the newest policy that this node knows: a store that lost its data goes on from there.
-        `summaries` is None while this node is unhealthy. Without a decision the policy is renewed in time,
-        and at once under a new fencing token.
+        `followed` is the newest policy that this node knows; if the store has lost its data, the next policy
+        is based on it. `summaries` is None while this node is unhealthy. If there is no decision, the policy
+        is renewed well before it expires, and immediately under a new fencing token.
         """
         base = stored if stored.version >= followed.version else followed
         policy = self.decide(now, base, summaries) if summaries is not None else None
         if policy is None:
             if base is stored and stored.fencing_token == fencing_token and now < self.renew_at:
                 return PolicyProposal(None, base)
-            noted = self._with_noted_loads(_with_listed_zones(base, summaries or {}))
-            policy = replace(noted, renewal=base.renewal + 1, valid_for=self.settings.policy_ttl)
+            with_loads = self._with_usual_loads(_with_listed_zones(base, summaries or {}))
+            policy = replace(with_loads, renewal=base.renewal + 1, valid_for=self.settings.policy_ttl)
         return PolicyProposal(replace(policy, fencing_token=fencing_token), base)
 
     def policy_written(self, now: float, policy: TrafficPolicy) -> None:
-        """The store has accepted a policy."""
+        """Schedule the next renewal, after a policy has been written to the store."""
         self.renew_at = now + policy.valid_for / RENEWALS_PER_TTL
 
     def should_yield(self, now: float, zone: str, summaries: Mapping[str, ZoneSummary] | None) -> bool:
-        """Whether a node of this zone is to leave the lease to others.
+        """Return whether the controller's node, in `zone`, should give up the lease.
 
-        So it is once, for a while, the node was unhealthy (`summaries` is None) or its zone has reached fewer
-        than half of the others, and so knows less of them than they do.
+        It should if, for some time, it has been unhealthy (`summaries` is None) or its zone has reached fewer
+        than half of the other zones, which then know more about each other than this node does.
         """
         isolated = summaries is None
         if summaries is not None:
             excluded = {zone, *self.evidence.closed_unreachable}
-            others = [one for other, one in summaries.items() if other not in excluded]
+            others = [summary for other, summary in summaries.items() if other not in excluded]
             threshold = self.settings.reach_threshold
-            reached = sum(one.reachability.get(zone, 1.0) >= threshold for one in others)
+            reached = sum(summary.reachability.get(zone, 1.0) >= threshold for summary in others)
             isolated = len(others) > 1 and 2 * reached < len(others)
         self.isolated_since = min(self.isolated_since, now) if isolated else math.inf
         return now - self.isolated_since >= SPARSE_EVIDENCE_FACTOR * self.settings.evidence_time
@@ -116,13 +117,17 @@
     def decide(
         self, now: float, policy: TrafficPolicy, summaries: Mapping[str, ZoneSummary]
     ) -> TrafficPolicy | None:
-        """The next policy, or None while this one is to stay.
+        """Return the next policy, or None if the current one stays.
 
-        `summaries` are all zones as this node sees them; an unhealthy node does not ask.
+        `summaries` covers all zones as this node sees them. Not called while the node is unhealthy.
         """
-        live = {zone: one for zone, one in summaries.items() if one.listed_nodes or one.known_nodes}
+        live = {
+            zone: summary
+            for zone, summary in summaries.items()
+            if summary.listed_nodes or summary.known_nodes
+        }
         policy = _with_listed_zones(policy, live)
-        # a zone that this controller never saw may be missing on its own list alone
+        # a zone that this controller has never seen may be missing only from this node's list
         vanished = {
             zone: ZoneSummary(zone)
             for zone in policy.zones
@@ -132,7 +137,7 @@
         if len(snapshot.summaries) < 2:
             return None
         self.evidence.update(snapshot)
-        snapshot = replace(snapshot, policy=self._with_noted_loads(policy))
+        snapshot = replace(snapshot, policy=self._with_usual_loads(policy))
         return self._next_move(snapshot, self.evidence.halt_reason(now))
 
     def _next_move(self, snapshot: FleetSnapshot, halt_reason: str) -> TrafficPolicy | None:
@@ -141,36 +146,36 @@
         planner = MovePlanner(settings, evidence, capacity, snapshot)
         ramp = RecoveryRamp(settings, evidence, capacity, snapshot, bool(halt_reason))
         for zone in sorted(snapshot.summaries, key=self._urgency):
-            if snapshot.policy.zone_policy(zone).pinned_by or not self._may_move(snapshot.now, zone):
+            if snapshot.policy.zone_policy(zone).pinned_by or not self._is_move_allowed(snapshot.now, zone):
                 continue
-            moved = self._moved(zone, planner, ramp)
-            if moved is None:
+            zone_policy = self._next_zone_policy(zone, planner, ramp)
+            if zone_policy is None:
                 continue
             policy = replace(
-                snapshot.policy.with_zone_policy(zone, moved),
+                snapshot.policy.with_zone_policy(zone, zone_policy),
                 halt_reason=halt_reason,
                 valid_for=settings.policy_ttl,
             )
             if not policy.violations():
-                self.last_moves[self._region(zone)] = snapshot.now
+                self.last_move_times[self._region(zone)] = snapshot.now
                 return policy
-        if (redirected := planner.redirect()) is not None:
+        if (redirected := planner.plan_redirect()) is not None:
             return redirected
         if halt_reason != snapshot.policy.halt_reason:
             epoch = snapshot.policy.epoch + 1
             return replace(snapshot.policy, epoch=epoch, renewal=0, halt_reason=halt_reason)
         return None
 
-    def _moved(self, zone: str, planner: MovePlanner, ramp: RecoveryRamp) -> ZonePolicy | None:
+    def _next_zone_policy(self, zone: str, planner: MovePlanner, ramp: RecoveryRamp) -> ZonePolicy | None:
         cause = self.evidence.zones[zone].cause
         if cause is FailoverCause.NONE or (ramp.halted and cause in HALTED_CAUSES):
             return ramp.next_step(zone)
         if not self.evidence.has_lasted(zone, planner.snapshot):
             return None
-        return planner.divert(zone, cause)
+        return planner.plan_diversion(zone, cause)
 
-    def _with_noted_loads(self, policy: TrafficPolicy) -> TrafficPolicy:
-        """The policy with the usual load of each open zone, for the next controller."""
+    def _with_usual_loads(self, policy: TrafficPolicy) -> TrafficPolicy:
+        """Return the policy with the usual load of each open zone, which a new controller starts from."""
         zones = {}
         for zone, zone_policy in policy.zones.items():
             if zone_policy.diverted_fraction <= 0 and zone in self.evidence.zones:
@@ -181,11 +186,11 @@
     def _region(self, zone: str) -> str:
         return self.regions.get(zone, "")
 
-    def _may_move(self, now: float, zone: str) -> bool:
-        # an unreachable zone's traffic is on its way elsewhere already
+    def _is_move_allowed(self, now: float, zone: str) -> bool:
+        # the traffic of an unreachable zone arrives at other zones anyway
         if self.evidence.zones[zone].cause is FailoverCause.UNREACHABLE:
             return True
-        return now - self.last_moves.get(self._region(zone), -math.inf) >= self.settings.step_interval
+        return now - self.last_move_times.get(self._region(zone), -math.inf) >= self.settings.step_interval
 
     def _urgency(self, zone: str) -> _Urgency:
         evidence = self.evidence.zones[zone]
@@ -193,6 +198,8 @@
 
 
 def _with_listed_zones(policy: TrafficPolicy, summaries: Mapping[str, ZoneSummary]) -> TrafficPolicy:
-    """The policy with an entry for every zone that there is."""
-    listed = sorted(zone for zone, one in summaries.items() if one.listed_nodes or one.known_nodes)
+    """Return the policy with an entry added for each existing zone that it lacks."""
+    listed = sorted(
+        zone for zone, summary in summaries.items() if summary.listed_nodes or summary.known_nodes
+    )
     return replace(policy, zones={**{zone: ZonePolicy() for zone in listed}, **policy.zones})
--- a/shelfhaven/failover/priority_fit.py
+++ b/shelfhaven/failover/priority_fit.py
@@ -1,10 +1,11 @@
-"""Which classes of a zone are diverted where not all of its traffic fits elsewhere.
+"""Selects which classes of a zone to divert if the other zones cannot take all of its traffic.
 
-Owns the arithmetic of fractions by class. It knows no zone's state and decides no move.
+Pure arithmetic on fractions by class; `traffic_moves.py` and `recovery_ramp.py` decide what is diverted.
 
-The scarce resource elsewhere is a concurrent run, so a class is valued by the priority weight that a run
-earns per second. Classes are taken in descending order of that value rate, the last one in part: the greedy
-rule, which is optimal for divisible goods (G. Dantzig, "Discrete-Variable Extremum Problems", 1957).
+The other zones are short of concurrent runs, so a class is ranked by its value rate: the priority weight that
+one run earns per second. Classes are selected in descending order of value rate, the last one in part. This
+is the greedy solution of the fractional knapsack problem, which is optimal (G. Dantzig, "Discrete-Variable
+Extremum Problems", 1957).
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 
 def load_shares(by_class: Mapping[str, ClassLoad]) -> dict[str, float]:
-    """Each class's fraction of a zone's load; equal ones where there is no load."""
-    total = sum(one.load for one in by_class.values())
+    """Return each class's fraction of a zone's load; equal fractions if the zone has no load."""
+    total = sum(class_load.load for class_load in by_class.values())
     if total <= 0:
         return {cls: 1 / len(by_class) for cls in by_class}
-    return {cls: one.load / total for cls, one in by_class.items()}
+    return {cls: class_load.load / total for cls, class_load in by_class.items()}
 
 
 def fit_by_value(
@@ -28,10 +29,10 @@
     shares: Mapping[str, float],
     value_rates: Mapping[str, float],
 ) -> dict[str, float]:
-    """The fraction of each candidate class to divert, so that `diverted_fraction` of the whole load goes.
+    """Return how much of each candidate class to divert so that `diverted_fraction` of the load is diverted.
 
-    `shares` are the fractions of the load of all classes. Classes without load are diverted with the rest:
-    they take no capacity now, and may be of value later.
+    `shares` are the fractions of the zone's load by class. Candidates without load are diverted entirely:
+    they need no capacity now, and may earn value later.
     """
     fractions: dict[str, float] = {}
     remaining = diverted_fraction
@@ -43,5 +44,5 @@
 
 
 def total_fraction(fractions: Mapping[str, float], shares: Mapping[str, float]) -> float:
-    """What fractions by class are of the whole load."""
+    """Return the fraction of the whole load that the given fractions by class amount to."""
     return min(1.0, sum(fraction * shares.get(cls, 0.0) for cls, fraction in fractions.items()))
--- a/shelfhaven/failover/recovery_ramp.py
+++ b/shelfhaven/failover/recovery_ramp.py
@@ -1,7 +1,7 @@
-"""The recovery ramp: traffic comes back to a recovered zone by steps, not faster than the zone warms up.
+"""The recovery ramp: returns traffic to a recovered zone in steps, no faster than the zone warms up.
 
-A zone whose traffic had to be diverted again while it recovered waits twice as long the next time. Where
-classes were diverted apart, those that earn least come back first and show how that goes.
+If traffic had to be diverted again during a recovery, the next recovery waits twice as long. If only some
+classes were diverted, those with the lowest value rate return first, so that they test the zone.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryRamp:
-    """Plans the recoveries of one moment.
+    """Plans recoveries from one snapshot of the fleet.
 
-    `halted`: diverting for failures is halted, so that what was diverted comes back without further delay.
+    `halted`: no traffic is diverted for failures at present, so diverted traffic returns without delay.
     """
 
     settings: FailoverSettings
@@ -31,15 +31,15 @@
     halted: bool
 
     def next_step(self, zone: str) -> ZonePolicy | None:
-        """The policy that brings back more of a zone's traffic; None while nothing is to change."""
+        """Return the policy that returns more of a zone's traffic; None if nothing changes yet."""
         policy = self.snapshot.policy.zone_policy(zone)
         if policy.diverted_fraction <= 0:
-            return self._reopened(zone, policy)
-        if not self.halted and not self._is_calm(zone, policy):
+            return self._reopen(zone, policy)
+        if not self.halted and not self._has_stabilized(zone, policy):
             return None
         diverted = self._next_fraction(zone, policy)
         if diverted < MIN_MOVE:
-            diverted = 0.0  # so small a rest would stay for good: no move is as small
+            diverted = 0.0  # a remainder below the minimum move would never be returned
         elif diverted > policy.diverted_fraction - MIN_MOVE:
             return None
         return replace(
@@ -50,18 +50,17 @@
             reason="comes back by steps",
         )
 
-    def _reopened(self, zone: str, policy: ZonePolicy) -> ZonePolicy | None:
-        if policy.state is ZoneState.OPEN or not self._is_calm(zone, policy):
+    def _reopen(self, zone: str, policy: ZonePolicy) -> ZonePolicy | None:
+        if policy.state is ZoneState.OPEN or not self._has_stabilized(zone, policy):
             return None
         failed_recoveries = max(0, policy.failed_recoveries - 1)
         return ZonePolicy(load=policy.load, failed_recoveries=failed_recoveries, reason="well again")
 
     def _next_fraction(self, zone: str, policy: ZonePolicy) -> float:
-        stepped = policy.diverted_fraction - self.settings.step_size
-        diverted = max(0.0, stepped, 1 - self.snapshot.summaries[zone].warm_fraction)
-        if (
-            policy.cause is FailoverCause.OVERLOADED and not self.halted
-        ):  # what does not fit yet stays diverted
+        after_step = policy.diverted_fraction - self.settings.step_size
+        diverted = max(0.0, after_step, 1 - self.snapshot.summaries[zone].warm_fraction)
+        if policy.cause is FailoverCause.OVERLOADED and not self.halted:
+            # load that still exceeds the zone's capacity stays diverted
             load = self.capacity.load_before_diversion(zone)
             excess = self.capacity.excess_fraction(zone, policy.load if load is None else load)
             return max(diverted, excess)
@@ -76,10 +75,10 @@
         fractions = priority_fit.fit_by_value(diverted, before, shares, value_rates)
         return {cls: min(fraction, before[cls]) for cls, fraction in fractions.items()}
 
-    def _is_calm(self, zone: str, policy: ZonePolicy) -> bool:
-        """Whether the zone was well for long enough: twice as long for each failed recovery."""
-        well_for = self.snapshot.now - self.evidence.zones[zone].well_since
+    def _has_stabilized(self, zone: str, policy: ZonePolicy) -> bool:
+        """Return whether the zone has been healthy long enough; each failed recovery doubles the delay."""
+        healthy_for = self.snapshot.now - self.evidence.zones[zone].well_since
         if policy.state is ZoneState.RECOVERING and policy.diverted_fraction > 0:
-            return well_for >= self.settings.step_interval
+            return healthy_for >= self.settings.step_interval
         delay = self.settings.recovery_delay * 2.0**policy.failed_recoveries
-        return well_for >= min(self.settings.max_recovery_delay, delay)
+        return healthy_for >= min(self.settings.max_recovery_delay, delay)
--- a/tests/failover/helpers.py
+++ b/tests/failover/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests of failover share: a group of gossiping nodes, and a fleet under a controller."""
+"""Helpers for the failover tests: a group of gossiping nodes, and a simulated fleet with a controller."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class GossipGroup:
-    """Nodes whose messages are delivered at once; `is_lost` says which are dropped."""
+    """Gossiping nodes whose messages are delivered immediately, unless `is_lost` drops them."""
 
     def __init__(self, zones: dict[str, str], **changes: float) -> None:
         self.now = 0.0
@@ -35,24 +35,24 @@
         self.messages: list[Message] = []
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time by a number of seconds."""
         until = self.now + seconds
         while self.now < until:
             self.now += 0.05
             for name, node in self.nodes.items():
                 if name not in self.stopped and node.next_wake() <= self.now:
-                    self.perform(name, node.wake(self.now))
+                    self.deliver(name, node.wake(self.now))
             for name, node in self.nodes.items():
                 if name not in self.stopped and round(self.now / 0.05) % 10 == 0:
                     node.update_own_digest(node.own_digest)
 
-    def perform(self, name: str, actions: list[Action]) -> None:
-        """Deliver what a node sends."""
+    def deliver(self, name: str, actions: list[Action]) -> None:
+        """Deliver the messages that a node sends, and those sent in response."""
         for action in actions:
             if isinstance(action, Send):
                 self.messages.append(action.message)
                 if self._delivers(name, action.address):
-                    self.perform(action.address, self.nodes[action.address].receive(self.now, action.message))
+                    self.deliver(action.address, self.nodes[action.address].receive(self.now, action.message))
 
     def _delivers(self, sender: str, receiver: str) -> bool:
         reachable = receiver in self.nodes and receiver not in self.stopped
@@ -71,14 +71,17 @@
 
 
 def class_loads(value_rate: float = 30.0, **failure_rates: float) -> dict[str, ClassLoad]:
-    """A zone's classes: looks are three fifths of the load and earn a tenth of what top-ups do."""
+    """Return the loads of a zone's classes.
+
+    `look` makes up 60 % of the load, and its value rate is a tenth of that of `topup`.
+    """
     loads = {"look": 36.0, "topup": 24.0}
     value_rates = {"look": value_rate / 10, "topup": value_rate}
     return {cls: ClassLoad(rate, loads[cls], value_rates[cls]) for cls, rate in failure_rates.items()}
 
 
 class ControlledFleet:
-    """Three zones as one node sees them, and a controller that decides every half second."""
+    """Zone summaries of three zones, and a controller that decides every half second."""
 
     def __init__(self, **changes: float) -> None:
         self.controller = FailoverController(replace(QUICK_SETTINGS, **changes), dict.fromkeys("abcd", "r"))
@@ -90,32 +93,32 @@
         self.policies: list[tuple[float, TrafficPolicy]] = []
 
     def change(self, zone: str, **changes: object) -> None:
-        """Change what is seen of a zone."""
+        """Change fields of a zone's summary."""
         self.summaries[zone] = replace(self.summaries[zone], **changes)  # type: ignore[arg-type]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time by a number of seconds."""
         until = self.now + seconds
         while self.now < until:
             self.now += 0.5
-            new = self.controller.decide(self.now, self.policy, self.summaries)
-            if new is not None:
-                assert new.epoch == self.policy.epoch + 1
-                assert new.violations() == []
-                self.policy = new
-                self.policies.append((self.now, new))
+            next_policy = self.controller.decide(self.now, self.policy, self.summaries)
+            if next_policy is not None:
+                assert next_policy.epoch == self.policy.epoch + 1
+                assert next_policy.violations() == []
+                self.policy = next_policy
+                self.policies.append((self.now, next_policy))
 
     def lose(self, zone: str) -> None:
-        """A zone is not reached any more."""
+        """Make a zone unreachable for the others."""
         self.change(
             zone, known_nodes=0, capacity=0.0, load=0.0, reachability=dict.fromkeys(REACHABILITY[zone], 0.0)
         )
 
     def diverted(self, zone: str) -> float:
-        """The fraction of a zone's traffic that is diverted."""
+        """Return the diverted fraction of a zone's traffic."""
         return self.policy.zone_policy(zone).diverted_fraction
 
 
 def local_router(**changes: float) -> LocalityRouter:
-    """A router in zone a; b is in its region, c in another."""
+    """Return a router in zone a; zone b is in the same region, zone c in another."""
     return LocalityRouter(LocalitySettings(**changes), "a", Random(1), {"a": "r", "b": "r", "c": "s"})  # type: ignore[arg-type]
--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller's bounds, whatever happens to zones."""
+"""Tests of the failover controller, including its limits under random sequences of faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.failover.helpers import QUICK_SETTINGS, REACHABILITY, ControlledFleet
 
 
-def test_controller_notes_usual_loads_before_any_decision() -> None:
+def test_controller_records_usual_loads_before_any_decision() -> None:
     controller = FailoverController(QUICK_SETTINGS)
     summaries = ControlledFleet().summaries
     policy, _ = controller.next_policy(0.0, TrafficPolicy(), TrafficPolicy(), summaries, 1)
@@ -25,17 +25,17 @@
     )
 
 
-kinds = st.sampled_from(["well", "lost", "ill", "full", "cold", "one-eyed"])
+FAULTS = st.sampled_from(["healthy", "unreachable", "failing", "overloaded", "cold", "one witness"])
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from("abc"), kinds, st.floats(0.5, 12.0)), max_size=12))
-def test_bounds_hold_under_any_schedule(
+@given(st.lists(st.tuples(st.sampled_from("abc"), FAULTS, st.floats(0.5, 12.0)), max_size=12))
+def test_limits_hold_under_any_sequence_of_faults(
     schedule: list[tuple[str, str, float]],
 ) -> None:
     fleet = ControlledFleet()
     fleet.run(3.0)
-    for zone, kind, seconds in schedule:
+    for zone, fault, seconds in schedule:
         fleet.change(
             zone,
             known_nodes=10,
@@ -46,40 +46,40 @@
             warm_fraction=1.0,
             reachability=REACHABILITY[zone],
         )
-        match kind:
-            case "lost":
+        match fault:
+            case "unreachable":
                 fleet.lose(zone)
-            case "ill":
+            case "failing":
                 fleet.change(zone, failure_rate=0.9)
-            case "full":
+            case "overloaded":
                 fleet.change(zone, capacity=30.0, rejection_rate=0.5)
             case "cold":
                 fleet.change(zone, warm_fraction=0.2, capacity=20.0)
-            case "one-eyed":
+            case "one witness":
                 fleet.change(zone, reachability={other: 0.0 for other in list(REACHABILITY[zone])[:1]})
         for _ in range(math.ceil(seconds / 0.5)):
-            for other, one in fleet.summaries.items():  # diverted load is not asked there any more
-                fleet.change(other, load=60.0 * (1 - fleet.diverted(other)) if one.known_nodes else 0.0)
+            for other, summary in fleet.summaries.items():  # diverted load no longer arrives
+                fleet.change(other, load=60.0 * (1 - fleet.diverted(other)) if summary.known_nodes else 0.0)
             fleet.run(0.5)
-    last: dict[str, float] = dict.fromkeys("abc", 0.0)
-    moved_at = -math.inf
-    for at, policy in fleet.policies:
+    last_fractions: dict[str, float] = dict.fromkeys("abc", 0.0)
+    last_move_at = -math.inf
+    for decided_at, policy in fleet.policies:
         zone_policies = {zone: policy.zone_policy(zone) for zone in "abc"}
         assert (
             sum(zone_policy.diverted_fraction for zone_policy in zone_policies.values())
             <= 3 * QUICK_SETTINGS.max_diverted + 0.3
         )
         assert any(zone_policy.diverted_fraction < 1 for zone_policy in zone_policies.values())
-        changed = [zone for zone in "abc" if zone_policies[zone].diverted_fraction != last[zone]]
-        assert len(changed) <= 1, "one move at a time"
+        changed = [zone for zone in "abc" if zone_policies[zone].diverted_fraction != last_fractions[zone]]
+        assert len(changed) <= 1, "only one zone is moved at a time"
         for zone in changed:
             if zone_policies[zone].cause is not FailoverCause.UNREACHABLE:
                 max_step = (
-                    max(QUICK_SETTINGS.step_size, 2 * last[zone])
-                    if zone_policies[zone].diverted_fraction > last[zone]
+                    max(QUICK_SETTINGS.step_size, 2 * last_fractions[zone])
+                    if zone_policies[zone].diverted_fraction > last_fractions[zone]
                     else QUICK_SETTINGS.step_size
                 )
-                assert abs(zone_policies[zone].diverted_fraction - last[zone]) <= max_step + 1e-9
-                assert at - moved_at >= QUICK_SETTINGS.step_interval - 1e-9
-            moved_at = at
-            last[zone] = zone_policies[zone].diverted_fraction
+                assert abs(zone_policies[zone].diverted_fraction - last_fractions[zone]) <= max_step + 1e-9
+                assert decided_at - last_move_at >= QUICK_SETTINGS.step_interval - 1e-9
+            last_move_at = decided_at
+            last_fractions[zone] = zone_policies[zone].diverted_fraction
