--- a/shelfhaven/failover/administration.py
+++ b/shelfhaven/failover/administration.py
@@ -76,7 +76,7 @@
     return lines
 
 
-def drain_zone(zone: str, diverted_fraction: float, policy: TrafficPolicy, view: NodeView) -> PlannedChange:
+def divert_zone(zone: str, diverted_fraction: float, policy: TrafficPolicy, view: NodeView) -> PlannedChange:
     """Divert a fraction of a zone's traffic, and pin the zone so that the controller leaves it alone."""
     policy = replace(policy, zones={other: policy.zone_policy(other) for other in _known_zones(policy, view)})
     targets = _diversion_targets(zone, policy, view)
@@ -85,7 +85,7 @@
         return PlannedChange(None, [f"{zone}: no other zone is open"])
     before = policy.zone_policy(zone)
     load = before.load if before.diverted_fraction else view.figures(zone).load
-    drained = ZonePolicy(
+    pinned = ZonePolicy(
         state=_state_for(diverted_fraction),
         cause=FailoverCause.OPERATORS,
         diverted_fraction=diverted_fraction,
@@ -94,7 +94,7 @@
         pinned_by="operators",
         reason="by hand",
     )
-    changed = policy.with_zone_policy(zone, drained)
+    changed = policy.with_zone_policy(zone, pinned)
     if violations := changed.violations():
         return PlannedChange(None, violations)
     lines = [f"{zone}: {diverted_fraction:.2f} of its traffic is diverted until an operator restores it"]
@@ -186,7 +186,7 @@
         case ZoneAction.FORGET:
             return forget_zone(command.zone, policy, view)
         case _:
-            return drain_zone(command.zone, command.diverted_fraction, policy, view)
+            return divert_zone(command.zone, command.diverted_fraction, policy, view)
 
 
 def _known_zones(policy: TrafficPolicy, view: NodeView) -> list[str]:
--- a/tests/failover/test_administration.py
+++ b/tests/failover/test_administration.py
@@ -14,7 +14,7 @@
     ZoneAction,
     ZoneCommand,
     apply_change,
-    drain_zone,
+    divert_zone,
     run_command,
 )
 from shelfhaven.failover.controller_task import read_policy, write_policy
@@ -31,10 +31,10 @@
         zones = {zone: ZonePolicy(load=10.0) for zone in "abc"}
         assert await write_policy(store, TrafficPolicy(4, 1, 9, "n1", zones=zones), 0)
         stored, revision = await read_policy(store)
-        drained_a, _ = drain_zone("a", 1.0, stored, NodeView())
-        assert drained_a
+        with_a_diverted, _ = divert_zone("a", 1.0, stored, NodeView())
+        assert with_a_diverted
         assert await write_policy(store, replace(stored, renewal=2, fencing_token=10), revision)
-        assert (await apply_change(store, drained_a, revision)).exit_code == ExitCode.DONE
+        assert (await apply_change(store, with_a_diverted, revision)).exit_code == ExitCode.DONE
         current, current_revision = await read_policy(store)
         assert (
             current.epoch,
@@ -47,16 +47,16 @@
             1.0,
             "operators",
         )
-        drained_b, _ = drain_zone("b", 1.0, current, NodeView())
-        assert drained_b
+        with_b_diverted, _ = divert_zone("b", 1.0, current, NodeView())
+        assert with_b_diverted
         assert await write_policy(
             store,
             current.with_zone_policy("c", ZonePolicy(diverted_fraction=0.25, destinations={"b": 1.0})),
             current_revision,
         )
-        assert (await apply_change(store, drained_b, current_revision)).exit_code == ExitCode.CONFLICT
+        assert (await apply_change(store, with_b_diverted, current_revision)).exit_code == ExitCode.CONFLICT
         assert (
-            drain_zone("c", 1.0, TrafficPolicy(1, zones={"c": ZonePolicy()}), NodeView())[0] is None
+            divert_zone("c", 1.0, TrafficPolicy(1, zones={"c": ZonePolicy()}), NodeView())[0] is None
         ), "no other zone can take the traffic"
 
     asyncio.run(check())
--- a/tests/failover/test_controller_task.py
+++ b/tests/failover/test_controller_task.py
@@ -88,7 +88,7 @@
     asyncio.run(check())
 
 
-def test_leader_in_an_isolated_zone_yields() -> None:
+def test_leader_in_an_isolated_zone_steps_down() -> None:
     async def check() -> None:
         store, node_stub, clock = InProcessStore(), NodeStub(), ManualClock()
         task = failover_task(store, node_stub, "a", clock)
