--- a/shelfhaven/failover/settings.py
+++ b/shelfhaven/failover/settings.py
@@ -30,7 +30,7 @@
     evidence_time: float = 2.0  # how long evidence of a fault must last before traffic is diverted
     reach_threshold: float = 0.3  # a zone reaches another if at least this fraction of its pings is answered
     failure_margin: float = 0.3  # a zone fails if its failure rate exceeds the others' median by this much
-    rejection_margin: float = 0.1  # the same for the rejection rate, above which a zone is overloaded
+    rejection_margin: float = 0.1  # a zone is overloaded if its rejection rate exceeds their median by this
     recovery_delay: float = 10.0  # how long a zone must be healthy before its traffic returns
     max_recovery_delay: float = 300.0  # upper bound of the delay, which doubles with each failed recovery
     rollout_window: float = 120.0  # zones that fail within this time of each other suggest a faulty release
--- a/tests/failover/test_administration.py
+++ b/tests/failover/test_administration.py
@@ -100,6 +100,6 @@
         assert (await run_command(store, NodeView(), command)).exit_code == ExitCode.DONE
         after, _ = await read_policy(store)
         assert after.epoch == 6
-        assert after.zone_policy("c").diverted_fraction == 0.25, "the controller's decision is stored"
+        assert after.zone_policy("c").diverted_fraction == 0.25, "the controller's decision is preserved"
 
     asyncio.run(check())
--- a/tests/failover/test_fleet.py
+++ b/tests/failover/test_fleet.py
@@ -177,9 +177,9 @@
                 > 300
             )
             local_runs = [run for run in running_world.ran if run.at >= measured_from and run.backend == "z1"]
-            looks = sum(run.path.startswith("/balance") for run in local_runs)
-            assert looks > 30, "the healthy class stays local"
-            assert len(local_runs) - looks < 0.5 * looks
+            look_runs = sum(run.path.startswith("/balance") for run in local_runs)
+            assert look_runs > 30, "the healthy class stays local"
+            assert len(local_runs) - look_runs < 0.5 * look_runs
             assert all([await node.healthy() for node in running_world.of("z1")])
             assert running_world.success_rate(measured_from, zone="z1") > 0.95
 
@@ -316,21 +316,19 @@
         assert first_answer.status == 200
         started_at = time.time()
         running_world.fleet.net.cut(west, [*east, "store"], Rule(hole=True))
-        other_nodes = [running_world.fleet.nodes[name] for name in east]
-        repeated_answer = await running_world.topped_up(other_nodes[1], "k1")
+        east_nodes = [running_world.fleet.nodes[name] for name in east]
+        repeated_answer = await running_world.topped_up(east_nodes[1], "k1")
         assert repeated_answer
         assert repeated_answer.status >= 500
         assert (
             not repeated_answer.not_run
         ), "it has run in the other partition, so this one must not report that it has not"
-        await soon(
-            lambda: all(running_world.diverted(node) == {"z0": 1.0, "z1": 1.0} for node in other_nodes)
-        )
+        await soon(lambda: all(running_world.diverted(node) == {"z0": 1.0, "z1": 1.0} for node in east_nodes))
         rejected_answer = await running_world.topped_up(running_world.of("z0")[1], "k2")
         assert rejected_answer
         assert rejected_answer.not_run
         assert "retry-after" in rejected_answer.fields
-        east_answer = await running_world.topped_up(other_nodes[2], "k2")
+        east_answer = await running_world.topped_up(east_nodes[2], "k2")
         assert east_answer
         assert east_answer.status == 200, "the partition with most replicas keeps claiming keys"
         await soon(lambda: all(running_world.fleet.nodes[name].events("zones_over") for name in west))
@@ -342,10 +340,10 @@
         for zone in running_world.backends:
             assert {line["server"] for line in running_world.decisions(zone, started_at)} <= set(east)
         running_world.fleet.net.rules.clear()
-        await soon(lambda: not any(running_world.diverted(node) for node in other_nodes))
+        await soon(lambda: not any(running_world.diverted(node) for node in east_nodes))
         await soon(
             lambda: {running_world.followed_epoch(node) for node in running_world.nodes}
-            == {running_world.followed_epoch(other_nodes[0])}
+            == {running_world.followed_epoch(east_nodes[0])}
         )
         assert len(running_world.runs_of("k1")) == len(running_world.runs_of("k2")) == 1
 
