--- a/shelfhaven/failover/actor.py
+++ b/shelfhaven/failover/actor.py
@@ -95,7 +95,7 @@
         self.measure = measure
         self.log = log
         self.follower = PolicyFollower()
-        self.in_force: TrafficPolicy | None = None
+        self.policy_in_force: TrafficPolicy | None = None
         self.on_policy_change: Callable[[TrafficPolicy | None], None] = lambda _: None
         self.on_reservation_datagram: Callable[[JsonValue], None] = lambda _: None
         self.store: ConsensusStore | None = None
@@ -160,7 +160,7 @@
     def rejects_work(self) -> bool:
         """Return whether this node reports at its frontends that it takes no work."""
         own = self.gossip.own_digest
-        return self.in_force is not None and self.in_force.diverts_node(own.name, own.zone)
+        return self.policy_in_force is not None and self.policy_in_force.diverts_node(own.name, own.zone)
 
     def load_now(self) -> FailoverLoad:
         """Return the figures for the log, and reset the counters."""
@@ -174,7 +174,7 @@
             **counts,
             "bytes_sent": bytes_sent,
             "epoch": self.follower.policy.epoch,
-            "in_force": self.in_force is not None,
+            "in_force": self.policy_in_force is not None,
             "turns_away": self.rejects_work(),
         }
 
@@ -192,12 +192,12 @@
 
     def _update_in_force(self, now: float) -> None:
         """Notify the listener when another policy takes effect or the current one expires."""
-        in_force = self.follower.in_force(now)
-        if in_force is not self.in_force:
-            if in_force is None:
+        policy_in_force = self.follower.policy_in_force(now)
+        if policy_in_force is not self.policy_in_force:
+            if policy_in_force is None:
                 self.log.event("zones_over", epoch=self.follower.policy.epoch)
-            self.in_force = in_force
-            self.on_policy_change(in_force)
+            self.policy_in_force = policy_in_force
+            self.on_policy_change(policy_in_force)
 
     # Datagrams
 
--- a/shelfhaven/failover/controller.py
+++ b/shelfhaven/failover/controller.py
@@ -98,7 +98,7 @@
         """Schedule the next renewal, after a policy has been written to the store."""
         self.renew_at = now + policy.valid_for / RENEWALS_PER_TTL
 
-    def should_yield(self, now: float, zone: str, summaries: Mapping[str, ZoneSummary] | None) -> bool:
+    def should_step_down(self, now: float, zone: str, summaries: Mapping[str, ZoneSummary] | None) -> bool:
         """Return whether the controller's node, in `zone`, should give up the lease.
 
         It should if, for some time, it has been unhealthy (`summaries` is None) or its zone has reached fewer
--- a/shelfhaven/failover/controller_task.py
+++ b/shelfhaven/failover/controller_task.py
@@ -117,7 +117,7 @@
             raise FencedOffError(stored.fencing_token)
         now = self.clock()
         summaries = self.fleet_view.zone_summaries()
-        if self.controller.should_yield(now, self.node.zone, summaries):
+        if self.controller.should_step_down(now, self.node.zone, summaries):
             raise TaskFailedError(
                 "this node is unhealthy, or its zone reaches too few other zones to decide for them"
             )
--- a/shelfhaven/failover/gossip.py
+++ b/shelfhaven/failover/gossip.py
@@ -34,7 +34,7 @@
 from shelfhaven.failover.ping_schedule import PendingPing, PingSchedule
 from shelfhaven.failover.settings import GossipSettings
 from shelfhaven.failover.suspicion import SuspicionTracker
-from shelfhaven.failover.traffic_policy import NO_POLICY, PolicyVersion
+from shelfhaven.failover.traffic_policy import NO_POLICY_VERSION, PolicyVersion
 from shelfhaven.failover.wire import digest_size, vote_size
 
 HEADER_BYTES = 160  # of a message beside digests and votes
@@ -79,7 +79,7 @@
         self.own_digest = own_digest
         self.random = random
         self._last_ping_id = random.randrange(1 << 30)  # random, so that incarnations do not share ids
-        self.policy_version = NO_POLICY  # of the newest traffic policy that this node follows
+        self.policy_version = NO_POLICY_VERSION  # of the newest traffic policy that this node follows
         self.counts: Counter[GossipCounter] = Counter()  # for the log
         self.members = MemberList(own_digest.name)
         self.table = DigestTable(settings)
--- a/shelfhaven/failover/load_digest.py
+++ b/shelfhaven/failover/load_digest.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from shelfhaven.failover.traffic_policy import NO_POLICY, PolicyVersion
+from shelfhaven.failover.traffic_policy import NO_POLICY_VERSION, PolicyVersion
 
 MAX_MESSAGE_BYTES = 1400  # so that a message is one datagram on any path
 MAX_NAME_LENGTH = 64  # characters of names and addresses
@@ -111,4 +111,4 @@
     target: str = ""  # PING_REQUEST: the address to ping
     digests: tuple[AgedDigest, ...] = ()
     suspicions: tuple[SuspicionVote, ...] = ()
-    policy_version: PolicyVersion = NO_POLICY
+    policy_version: PolicyVersion = NO_POLICY_VERSION
--- a/shelfhaven/failover/traffic_policy.py
+++ b/shelfhaven/failover/traffic_policy.py
@@ -87,7 +87,7 @@
     renewal: int  # increases with each renewal within an epoch
 
 
-NO_POLICY = PolicyVersion(0, 0)  # version on a node that has not received a policy yet
+NO_POLICY_VERSION = PolicyVersion(0, 0)  # version on a node that has not received a policy yet
 
 
 @dataclass(frozen=True, slots=True)
@@ -262,6 +262,6 @@
         self.expires_at = now + policy.valid_for
         return True
 
-    def in_force(self, now: float) -> TrafficPolicy | None:
+    def policy_in_force(self, now: float) -> TrafficPolicy | None:
         """Return the policy if it has not expired; None: each node decides for itself where its runs go."""
         return self.policy if now < self.expires_at else None
--- a/shelfhaven/lab/failover_simulation.py
+++ b/shelfhaven/lab/failover_simulation.py
@@ -261,7 +261,7 @@
 
     def rejects_work(self, node: SimulatedNode) -> bool:
         """Whether a node reports that it takes no work, by the policy that it follows."""
-        policy = node.follower.in_force(self.now)
+        policy = node.follower.policy_in_force(self.now)
         return policy is not None and policy.diverts_node(node.name, node.zone)
 
     def _routing(self) -> dict[str, ZoneRouting]:
@@ -276,7 +276,7 @@
         """A zone's policy as its own nodes follow it or, where there are none, the others."""
         for name in (zone, *self.zones):
             for node in live[name][:POLICY_WITNESSES]:
-                if policy := node.follower.in_force(self.now):
+                if policy := node.follower.policy_in_force(self.now):
                     return policy.zone_policy(zone)
         return ZonePolicy()
 
@@ -356,7 +356,9 @@
             return False
         if not self._reaches_store(leader):
             return False
-        return self.controller is None or not self.controller.should_yield(self.now, leader.zone, summaries)
+        return self.controller is None or not self.controller.should_step_down(
+            self.now, leader.zone, summaries
+        )
 
     def _elect(self) -> bool:
         """Draw another leader once the lease has run out; whether there is one."""
--- a/shelfhaven/program/failover.py
+++ b/shelfhaven/program/failover.py
@@ -170,7 +170,7 @@
             self.controller.reconfigure(config.controller)
         self.regions.clear()
         self._update_members(self.membership.node.items)
-        self._apply_policy(self.actor.in_force)
+        self._apply_policy(self.actor.policy_in_force)
         return unchanged
 
     def stop_listening(self, left: float) -> None:
--- a/tests/failover/test_traffic_policy.py
+++ b/tests/failover/test_traffic_policy.py
@@ -75,16 +75,16 @@
 
 def test_follower_ignores_older_and_expired_policies() -> None:
     follower = PolicyFollower()
-    assert follower.in_force(0.0) is None
+    assert follower.policy_in_force(0.0) is None
     assert follower.accept(1.0, TrafficPolicy(5, 1, valid_for=10.0))
     assert not follower.accept(2.0, TrafficPolicy(4, 9, valid_for=10.0))
     assert not follower.accept(
         2.0, TrafficPolicy(5, 1, valid_for=10.0)
     ), "the same version does not extend the validity"
-    assert follower.in_force(10.9) == TrafficPolicy(5, 1, valid_for=10.0)
-    assert follower.in_force(11.0) is None
+    assert follower.policy_in_force(10.9) == TrafficPolicy(5, 1, valid_for=10.0)
+    assert follower.policy_in_force(11.0) is None
     assert follower.accept(12.0, TrafficPolicy(5, 2, valid_for=10.0))
-    assert follower.in_force(21.0) is not None
+    assert follower.policy_in_force(21.0) is not None
 
 
 def test_diverted_nodes_are_a_stable_subset_as_the_fraction_shrinks() -> None:
