--- a/shelfhaven/backends/proxy.py
+++ b/shelfhaven/backends/proxy.py
@@ -17,7 +17,7 @@
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.routing.pool import Pool
 from shelfhaven.routing.pool_settings import PoolSettings
-from shelfhaven.routing.processor_policy import SIGNALS
+from shelfhaven.routing.processor_policy import SIGNAL_BY_OUTCOME
 from shelfhaven.server import messages
 from shelfhaven.server.log import Log
 from shelfhaven.server.mailbox import Mailbox
@@ -69,7 +69,7 @@
         """A run is over, after so many seconds."""
         attempt = self.attempts.pop(run_id, None)
         if attempt is not None:
-            self.pool.end_attempt(time.monotonic(), attempt, SIGNALS[outcome])
+            self.pool.end_attempt(time.monotonic(), attempt, SIGNAL_BY_OUTCOME[outcome])
         self.tell(messages.RunCompleted(run_id, outcome, elapsed, result))
 
     def _take(self, message: RunnerMessage) -> None:
--- a/shelfhaven/backends/uwsgi_pool.py
+++ b/shelfhaven/backends/uwsgi_pool.py
@@ -324,7 +324,7 @@
         attempt = self.attempts.pop(number, None)
         if attempt and attempt.timer:
             attempt.timer.cancel()
-        run = self.router.by_attempt.get(number)
+        run = self.router.run_by_attempt.get(number)
         if run and result is AttemptResult.SERVED:
             self.results[run.run_id] = body
         self._carry_out(self.router.attempt_ended(time.monotonic(), number, result))
--- a/shelfhaven/routing/caller_numbers.py
+++ b/shelfhaven/routing/caller_numbers.py
@@ -1,9 +1,10 @@
-"""Numbers for callers that give a name, within a bound on the names that are remembered.
+"""Assigns numbers to callers, with a limit on the number of names that are remembered.
 
-The core knows callers by number. When all places are taken by callers that were active lately, newcomers
-share one number for each peer address, so that a peer that invents names gains nothing and evicts nobody.
+The core identifies callers by number. Once the limit is reached and every remembered caller was active
+recently, each new name gets the number of its peer address. A peer that makes up names therefore gains
+nothing and evicts no other caller.
 
-Pure: no I/O and no clock, the time is passed in.
+This module does no I/O and reads no clock; callers pass the current time.
 """
 
 from __future__ import annotations
@@ -11,19 +12,22 @@
 import hashlib
 from collections import OrderedDict
 
-NUMBER_BYTES = 6  # of a digest: exact in any protocol that carries numbers as doubles
+NUMBER_BYTES = 6  # 48 bits, which a protocol that encodes numbers as doubles represents exactly
 
 
-def number_of(name: str) -> int:
-    """The number of a name, the same on every node and after every start."""
+def hash_name(name: str) -> int:
+    """Return a hash of a name that is the same on every node and after every restart."""
     digest = hashlib.blake2b(name.encode("utf-8", "surrogateescape"), digest_size=NUMBER_BYTES)
     return int.from_bytes(digest.digest(), "big")
 
 
 class CallerNumbers:
-    """The names that have a number of their own, least recently active first.
+    """Remembers the callers whose names have their own number.
 
-    `max_names`: names that are remembered; `idle_time`: seconds after which one may be evicted.
+    Attributes:
+        max_names: maximum number of names that are remembered.
+        idle_time: seconds without activity after which a name may be evicted.
+        last_active: time of each name's last activity, least recently active first.
     """
 
     def __init__(self, max_names: int, idle_time: float) -> None:
@@ -31,15 +35,15 @@
         self.idle_time = idle_time
         self.last_active: OrderedDict[str, float] = OrderedDict()
 
-    def number(self, now: float, name: str, peer: str) -> int:
-        """The number of a caller that gives a name and connects from a peer address."""
+    def number_for(self, now: float, name: str, peer: str) -> int:
+        """Return the number of a caller, given its name (which may be empty) and its peer address."""
         if not name or name == peer:
-            return number_of(f"peer {peer}")
+            return hash_name(f"peer {peer}")
         if name not in self.last_active and len(self.last_active) >= self.max_names:
-            oldest, active_at = next(iter(self.last_active.items()))
-            if now - active_at < self.idle_time:
-                return number_of(f"peer {peer}")
-            del self.last_active[oldest]
+            oldest_name, last_active = next(iter(self.last_active.items()))
+            if now - last_active < self.idle_time:
+                return hash_name(f"peer {peer}")
+            del self.last_active[oldest_name]
         self.last_active[name] = now
         self.last_active.move_to_end(name)
-        return number_of(f"name {name}")
+        return hash_name(f"name {name}")
--- a/shelfhaven/routing/processor_policy.py
+++ b/shelfhaven/routing/processor_policy.py
@@ -1,15 +1,15 @@
-"""State machine of one consultation of an external processor (Envoy's `ext_proc` and its like).
+"""State machine for one consultation of an external processor, such as Envoy's `ext_proc`.
 
-A proxy asks before it forwards a request, forwards it if it is told so, and reports how that ended. The
-machine decides what each message of the proxy, each answer of the core and the passing of time mean for the
-verdict and for the run behind it: there is one verdict, none of them lets a request go on late, and a run
-ends once.
+In a consultation, a proxy asks this server whether it may forward a request, forwards it if the verdict
+allows it, and reports how the run ended. The state machine handles the messages of the proxy, the decisions
+of the core, and timeouts. It guarantees that each consultation has at most one verdict, that a launch does
+not continue a request whose verdict is overdue, and that the end of a run is reported once.
 
     AWAITING_HEADERS -> (AWAITING_BODY) -> SUBMITTED -> CONTINUED -> (AWAITING_RESULT) -> ENDED
                                               \\-> ANSWERED by an immediate response
 
-Pure: no I/O and no clock. Events are calls with the time, actions are returned; `frontends/consulting.py`
-carries them out.
+This module does no I/O and reads no clock. Each event is a method call, with the current time where it
+matters, and returns actions for `frontends/consulting.py` to carry out.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 
 
 class ConsultationStage(Enum):
-    """Where a consultation is."""
+    """The stages of a consultation."""
 
     AWAITING_HEADERS = "asked"
-    AWAITING_BODY = "body"  # a key is decided together with the body of its request
-    SUBMITTED = "held"  # the core decides
-    CONTINUED = "continued"  # the proxy runs it
-    AWAITING_RESULT = "result"  # the body of its response is stored for duplicates
-    ANSWERED = "answered"  # by an immediate response: the proxy runs nothing
-    ENDED = "over"  # nothing more is to be learnt
+    AWAITING_BODY = "body"  # the core needs the body of a request that has an idempotency key
+    SUBMITTED = "held"  # waiting for the core's decision
+    CONTINUED = "continued"  # the proxy runs the request
+    AWAITING_RESULT = "result"  # receiving the response body, which is stored for duplicates
+    ANSWERED = "answered"  # answered by an immediate response; the proxy does not run the request
+    ENDED = "over"  # the run has ended, or the request was withdrawn
 
 
 STAGES_WITH_VERDICT = (
@@ -50,17 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConsultSettings:
-    """What the operator states about a proxy; times in seconds, sizes in bytes.
+    """Operator settings for a consulting proxy. Times are in seconds, sizes in bytes.
 
     Attributes:
-        verdict_timeout: time that the proxy waits for a verdict.
-        verdict_margin: part of that time that is kept back for the network.
-        lease: time after which a run that nothing is reported of is over.
-        max_body_bytes: largest body of a request with a key, and of its result.
-        max_streams: open streams.
-        max_buffered_bytes: bytes of bodies that are buffered on all streams.
-        fail_open: whether the proxy forwards a request for which it got no verdict.
-        shadow_classes: classes whose requests always go on, whatever is decided.
+        verdict_timeout: time for which the proxy waits for a verdict.
+        verdict_margin: part of `verdict_timeout` reserved for network delay.
+        lease: time after which a run without a report from the proxy is considered ended.
+        max_body_bytes: maximum body size of a request with an idempotency key, and of its result.
+        max_streams: maximum number of open streams.
+        max_buffered_bytes: maximum total size of the bodies buffered for all streams.
+        fail_open: whether the proxy forwards a request for which it received no verdict.
+        shadow_classes: classes whose requests are continued even if the core rejects them.
     """
 
     verdict_timeout: float = 0.2
@@ -74,18 +74,19 @@
 
     @property
     def verdict_budget(self) -> float:
-        """Seconds in which a verdict has to be given on this side."""
+        """Seconds that this server has to give a verdict."""
         return max(MIN_VERDICT_BUDGET, self.verdict_timeout - self.verdict_margin)
 
 
-SIGNALS = {
+# What the outcome of a run indicates about the health of the service behind the proxies.
+SIGNAL_BY_OUTCOME = {
     Outcome.OK: AttemptSignal.SUCCESS,
     Outcome.ERROR: AttemptSignal.FAILURE,
     Outcome.TIMEOUT: AttemptSignal.FAILURE,
-    Outcome.RESET: AttemptSignal.NONE,  # the proxy left; the service may be well
+    Outcome.RESET: AttemptSignal.NONE,  # the proxy disconnected; the service may be healthy
     Outcome.REJECTED: AttemptSignal.REJECTED,
     Outcome.CONNECT_FAILED: AttemptSignal.NONE,
-}  # what the end of a run says about the health of the service behind the proxies
+}
 
 
 # Actions
@@ -93,30 +94,36 @@
 
 @dataclass(frozen=True, slots=True)
 class PassThrough:
-    """Let what the proxy sent go on unchanged; `request_body`: have it send the request's complete body."""
+    """Let the proxy's message pass unchanged; `request_body` asks the proxy for the complete request body."""
 
     request_body: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Ask the core."""
+    """Submit the request, with this body, to the core for a decision."""
 
     body: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Continue:
-    """The verdict: the proxy may forward it; `request_result`: have it send the complete response body."""
+    """Verdict: the proxy may forward the request; `request_result` asks it for the response body."""
 
     request_result: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ImmediateResponse:
-    """The verdict: the proxy answers so itself and forwards nothing.
+    """Verdict: the proxy sends this response to its client and does not forward the request.
 
-    `result` is that of the run which this request duplicates, `retry_after` is in seconds.
+    Attributes:
+        status: HTTP status of the response.
+        text: error message, empty if there is a result.
+        not_run: whether it is certain that the request did not run.
+        retry_after: seconds after which the client may retry; 0 for no advice.
+        no_retry_elsewhere: whether a retry at another server would be rejected too.
+        result: result of the run that already served this request or its original, if any.
     """
 
     status: int
@@ -129,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """The run is over, after `elapsed` seconds; `result` is None where it is not known."""
+    """The run ended after `elapsed` seconds; `result` is None if it is not known."""
 
     outcome: Outcome
     elapsed: float
@@ -138,14 +145,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawRequest:
-    """Nobody waits for a verdict any more; `may_run`: the proxy may have forwarded it all the same."""
+    """Withdraw the request from the core: the proxy closed the stream before the verdict.
+
+    `may_run` is whether the proxy may have forwarded the request anyway.
+    """
 
     may_run: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolViolation:
-    """The proxy does not keep to the protocol or to what it was asked for."""
+    """The proxy violated the protocol or ignored what this server asked for."""
 
     text: str
 
@@ -156,20 +166,20 @@
 
 
 class Consultation:
-    """One request that a proxy asks about.
+    """The state of one consultation.
 
     Attributes:
-        settings: what the operator states about the proxy.
-        has_idempotency_key: whether the request has a key, so that its result is stored.
-        is_shadow: whether it goes on whatever is decided.
-        stage: where it is.
-        verdict_due: time by which the verdict has to be given.
-        body: what was received of the body that is awaited.
-        continued_at: time of the verdict that let it go on.
-        answered_in_shadow: the core gave its answer, and the proxy went on without it.
-        ignored_messages: messages after the run's end.
-        never_reports: whether the proxy never reports on runs: then an expired lease says nothing about the
-            service.
+        settings: operator settings for the proxy.
+        has_idempotency_key: whether the request has an idempotency key, so that its result is stored.
+        is_shadow: whether the request is continued even if the core rejects it.
+        stage: current stage.
+        verdict_due: time by which the verdict must be given.
+        body: received part of the request or response body that is being buffered.
+        continued_at: time at which the proxy was told to continue.
+        answered_in_shadow: whether the core answered the request, but the proxy was told to continue.
+        ignored_messages: number of messages received when there was no run to report on.
+        never_reports: whether the proxy never reports on its runs, so that an expired lease does not indicate
+            a failure of the service.
     """
 
     def __init__(
@@ -188,13 +198,13 @@
 
     @property
     def has_verdict(self) -> bool:
-        """Whether the verdict was given."""
+        """Whether the verdict has been given."""
         return self.stage in STAGES_WITH_VERDICT
 
-    # Request of the proxy
+    # Request messages from the proxy
 
     def request_headers(self, end_of_stream: bool) -> list[Action]:
-        """The request's headers came, and were mapped; `end_of_stream`: it has no body."""
+        """Handle the request headers, already mapped; `end_of_stream` means that there is no body."""
         if self.has_idempotency_key and not end_of_stream:
             self.stage = ConsultationStage.AWAITING_BODY
             return [PassThrough(request_body=True)]
@@ -202,7 +212,7 @@
         return [Submit(b"")]
 
     def request_body(self, data: bytes, end_of_stream: bool) -> list[Action]:
-        """A part of the request's body came: passed through, unless the verdict needs it."""
+        """Handle request body data: pass it through, or submit it if the request has an idempotency key."""
         if self.stage is not ConsultationStage.AWAITING_BODY:
             return [PassThrough()]
         self.body += data
@@ -211,7 +221,7 @@
             text = f"over {max_bytes} bytes"
             return self._answer(ImmediateResponse(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, text, not_run=True))
         if not end_of_stream:
-            # the answer to a part would let it be forwarded before there is a verdict
+            # Passing this part through would let the proxy forward it before the verdict.
             response = ImmediateResponse(HTTPStatus.SERVICE_UNAVAILABLE, BODY_NOT_BUFFERED, not_run=True)
             return [ProtocolViolation(BODY_NOT_BUFFERED), *self._answer(response)]
         self.stage = ConsultationStage.SUBMITTED
@@ -220,21 +230,21 @@
         return [Submit(body)]
 
     def unmappable(self, status: int, text: str) -> list[Action]:
-        """The request cannot be mapped: nothing ran."""
+        """Answer a request that the mapping rejected and that therefore did not run."""
         if self.has_verdict:
             return []
         return self._answer(ImmediateResponse(status, text, not_run=True))
 
-    # Answers of the core
+    # Decisions of the core
 
     def launched(self, now: float) -> list[Action]:
-        """The core lets it run: the verdict, unless it would come late; then nothing ran."""
+        """Handle a launch by the core: continue the request, or report it as not run if it is too late."""
         if self.stage is not ConsultationStage.SUBMITTED or now > self.verdict_due:
             return [RunEnded(Outcome.CONNECT_FAILED, 0.0)]
         return self._continue(now)
 
     def rejected(self, now: float, retry_after: float, no_retry_elsewhere: bool) -> list[Action]:
-        """The core rejects it."""
+        """Handle a rejection by the core."""
         if self.stage is not ConsultationStage.SUBMITTED:
             return []
         if self.is_shadow:
@@ -250,13 +260,13 @@
         )
 
     def served(self, result: bytes) -> list[Action]:
-        """The core has the result, of the original of a duplicate or of the request's own run."""
+        """Answer with a result from the core: of the request's own run, or of its original if a duplicate."""
         if self.stage is not ConsultationStage.SUBMITTED:
             return []
         return self._answer(ImmediateResponse(HTTPStatus.OK, "", not_run=False, result=result))
 
     def failed(self, now: float, text: str, is_late: bool) -> list[Action]:
-        """The core cannot say whether it ran."""
+        """Handle a failure after which the core does not know whether the request ran."""
         if self.stage is not ConsultationStage.SUBMITTED:
             return []
         if self.is_shadow and not self.has_idempotency_key:
@@ -271,7 +281,7 @@
         return [Continue(request_result=self.has_idempotency_key)]
 
     def _continue_in_shadow(self, now: float) -> list[Action]:
-        """The proxy goes on; the core has answered, so nothing more is reported to it."""
+        """Continue a shadow request. The core has already answered it, so its end is not reported."""
         self.answered_in_shadow = True
         return self._continue(now)
 
@@ -280,13 +290,13 @@
         self.body.clear()
         return [response]
 
-    # Reports of the proxy on the run
+    # Response messages from the proxy, which report on the run
 
     def response_headers(self, now: float, status: int, not_run: bool, end_of_stream: bool) -> list[Action]:
-        """The response's headers came: they end the run, unless a result is to be stored."""
+        """Handle the response headers, which end the run unless a result follows that must be stored."""
         if self.stage is not ConsultationStage.CONTINUED:
             return self._ignore()
-        outcome = self._outcome_of(status, not_run)
+        outcome = self._outcome_from_status(status, not_run)
         if outcome is Outcome.OK and self.has_idempotency_key and not end_of_stream:
             self.stage = ConsultationStage.AWAITING_RESULT
             return [PassThrough()]
@@ -294,7 +304,7 @@
         return [PassThrough(), *self._end(outcome, now, result)]
 
     def response_body(self, now: float, data: bytes, end_of_stream: bool) -> list[Action]:
-        """A part of the result came; one that is too large went well, but is not stored for duplicates."""
+        """Handle response body data. The run succeeds even if the result is too large to store."""
         if self.stage is not ConsultationStage.AWAITING_RESULT:
             return self._ignore()
         self.body += data
@@ -305,45 +315,45 @@
         return [PassThrough()]
 
     def buffer_exhausted(self, now: float) -> list[Action]:
-        """No more of its result can be buffered: the run went well, its duplicates get no result."""
+        """End the run as successful without a result, because its body cannot be buffered further."""
         if self.stage is not ConsultationStage.AWAITING_RESULT:
             return []
         return self._end(Outcome.OK, now, None)
 
     def trailers(self, now: float, of_response: bool) -> list[Action]:
-        """Trailers came, which end a body that was sent in parts."""
+        """Handle trailers; those of the response end a result that was streamed in parts."""
         if of_response and self.stage is ConsultationStage.AWAITING_RESULT:
             return [PassThrough(), *self._end(Outcome.OK, now, bytes(self.body))]
         return [PassThrough()]
 
-    def _outcome_of(self, status: int, not_run: bool) -> Outcome:
-        """Outcome of a run by the status of its response."""
+    def _outcome_from_status(self, status: int, not_run: bool) -> Outcome:
+        """Return the outcome of a run, given the status of its response."""
         if is_rejection(status, not_run):
             return Outcome.REJECTED
         if is_server_error(status):
             return Outcome.ERROR
         if self.has_idempotency_key and not is_success(status):
-            return Outcome.ERROR  # there is no result to store for duplicates
+            return Outcome.ERROR  # only a successful response is a result that can be stored for duplicates
         return Outcome.OK
 
-    # Ends
+    # End of the stream or of the run
 
     def closed(self, now: float) -> list[Action]:
-        """The stream is over, whoever ended it."""
+        """Handle the close of the stream by either side."""
         match self.stage:
             case ConsultationStage.SUBMITTED:
                 self.stage = ConsultationStage.ENDED
                 return [WithdrawRequest(may_run=self.settings.fail_open)]
-            case ConsultationStage.AWAITING_RESULT:  # it went well; its body came in part or not at all
+            case ConsultationStage.AWAITING_RESULT:  # successful, but the body is incomplete
                 return self._end(Outcome.OK, now, None)
-            case ConsultationStage.CONTINUED:  # forwarded or not, nobody will report
+            case ConsultationStage.CONTINUED:  # forwarded or not, no report will follow
                 return self._end(Outcome.RESET, now, None)
         self.stage = ConsultationStage.ENDED
         self.body.clear()
         return []
 
     def lease_expired(self, now: float) -> list[Action]:
-        """Nothing was reported of the run for as long as it may take."""
+        """End a run on which the proxy did not report, or did not finish its report, within the lease."""
         if self.stage not in (ConsultationStage.CONTINUED, ConsultationStage.AWAITING_RESULT):
             return []
         outcome = Outcome.OK if self.stage is ConsultationStage.AWAITING_RESULT else Outcome.TIMEOUT
@@ -352,7 +362,7 @@
         return self._end(outcome, now, None)
 
     def _ignore(self) -> list[Action]:
-        """Pass through what comes after the end, or without a run."""
+        """Count and pass through a message received when there is no run for it to report on."""
         self.ignored_messages += 1
         return [PassThrough()]
 
--- a/shelfhaven/routing/request_mapping.py
+++ b/shelfhaven/routing/request_mapping.py
@@ -1,10 +1,10 @@
-"""Mapping of what a gateway or proxy sends to what the core is asked.
+"""Mapping of HTTP requests, received from gateways and proxies, to requests to the core.
 
-A mapping reads the class, the tenant, the idempotency key, the budget and further attributes of a request
-from its variables, which have the names of CGI (`HTTP_IDEMPOTENCY_KEY`, `PATH_INFO`). Nothing is guessed: a
-value that a rule needs and does not find is a stated default or a `MappingError`.
+A mapping determines the class, tenant, idempotency key, budget and other attributes of a request from its
+CGI variables (`HTTP_IDEMPOTENCY_KEY`, `PATH_INFO` and so on). A missing value is replaced by its configured
+default; a missing value that is required raises `MappingError`.
 
-Pure: no I/O and no clock, the time is passed in.
+This module does no I/O and reads no clock; callers pass the current time.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from dataclasses import dataclass, field
 
 from shelfhaven.errors import ShelfhavenError
-from shelfhaven.routing.caller_numbers import CallerNumbers, number_of
+from shelfhaven.routing.caller_numbers import CallerNumbers, hash_name
 from shelfhaven.routing.path_pattern import Route
 
-MAX_VALUE_LENGTH = 256  # characters of a key, a name or a number
+MAX_VALUE_LENGTH = 256  # characters, for the value of any single variable except the path
 MAX_PATH_LENGTH = 2048  # characters
-MIN_BUDGET = 1e-6  # seconds; 0 would say that the caller gave none
-MILLISECONDS = 0.001  # seconds
+MIN_BUDGET = 1e-6  # seconds; a budget of 0 would mean that the caller stated none
+SECONDS_PER_MILLISECOND = 0.001
 TRUE_VALUES = ("1", "true", "yes", "on")
 
 BAD_REQUEST = 400
@@ -30,7 +30,7 @@
 
 
 class MappingError(ShelfhavenError):
-    """A request that the mapping cannot take; `status` is the HTTP status that says so."""
+    """The request violates the rules of the mapping; `status` is the HTTP status to answer with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -39,23 +39,28 @@
 
 @dataclass(frozen=True, slots=True)
 class AttributeSource:
-    """Where a value comes from: a variable, else the default; numbers are multiplied by `scale`."""
+    """Source of an attribute: a variable with a default. Numbers are multiplied by `scale`."""
 
     variable: str = ""
     default: str = ""
     scale: float = 1.0
 
     def text(self, variables: Mapping[str, str]) -> str:
-        """The value as text. Raises MappingError if it is too long."""
+        """Return the value of the variable, or the default if the variable is missing or empty.
+
+        Raises:
+            MappingError: The value is too long.
+        """
         value = variables.get(self.variable, "") if self.variable else ""
         if len(value) > MAX_VALUE_LENGTH:
             raise MappingError(BAD_REQUEST, f"{self.variable}: over {MAX_VALUE_LENGTH} characters")
         return value or self.default
 
     def number(self, variables: Mapping[str, str], upper_bound: float = math.inf) -> float | None:
-        """The value as a number from 0 to under a bound; None without it and a default.
+        """Return the value as a scaled number, or None if there is neither a value nor a default.
 
-        Raises MappingError if it is no such number.
+        Raises:
+            MappingError: The value is not a number, or the scaled number is not in [0, upper_bound).
         """
         text = self.text(variables)
         if not text:
@@ -72,35 +77,35 @@
 
 DEFAULT_TENANT = AttributeSource("HTTP_X_TENANT")
 DEFAULT_IDEMPOTENCY_KEY = AttributeSource("HTTP_IDEMPOTENCY_KEY")
-DEFAULT_BUDGET = AttributeSource("HTTP_X_TIME_LEFT_MS", scale=MILLISECONDS)
+DEFAULT_BUDGET = AttributeSource("HTTP_X_TIME_LEFT_MS", scale=SECONDS_PER_MILLISECOND)
 DEFAULT_RETRY = AttributeSource("HTTP_X_RETRY")
 DEFAULT_PRIORITY = AttributeSource("HTTP_X_RANK")
 DEFAULT_PARTITION_KEY = AttributeSource("HTTP_X_ROW")
-DEFAULT_WORK_HINT = AttributeSource("HTTP_X_WORK_MS", scale=MILLISECONDS)
+DEFAULT_WORK_HINT = AttributeSource("HTTP_X_WORK_MS", scale=SECONDS_PER_MILLISECOND)
 NO_SOURCE = AttributeSource()
 
 
 @dataclass(frozen=True, slots=True)
 class MappingSettings:
-    """Rules of one mapping, as its operator states them.
+    """Rules of one mapping, from the operator configuration.
 
     Attributes:
-        name: its name in the file.
-        routes: classes by method and path; the first that matches counts.
-        idempotent_classes: classes that need an idempotency key.
-        tenants: names in the order of the settings; empty where all requests are of one tenant.
-        tenant: source of the tenant's name.
-        idempotency_key: source of the key.
-        budget: source of the seconds that the caller still waits.
-        retry: source of the mark of a retry.
-        priority: source of the priority, from 0 to under 1.
-        partition_key: source of the name of what the request works on.
-        work_hint: source of the seconds that the run is expected to take.
-        caller: source of the caller's name; its peer address where there is none.
-        max_callers: names of callers that are remembered.
-        caller_idle_time: seconds after which the name of a caller may be forgotten.
-        footprint_kb: memory reserved for a request beside its body.
-        extra_variables: variables that are passed to the backend beside the usual ones.
+        name: name of the mapping in the operator configuration.
+        routes: routes that determine the class; the first match applies.
+        idempotent_classes: classes whose requests must have an idempotency key.
+        tenants: tenant names, in the order of the tenant settings; empty if there is a single tenant.
+        tenant: source of the tenant name.
+        idempotency_key: source of the idempotency key.
+        budget: source of the budget, in seconds after scaling.
+        retry: source of the flag that marks a retry.
+        priority: source of the priority, a number in [0, 1).
+        partition_key: source of the name of the data that the request works on.
+        work_hint: source of the expected run time, in seconds after scaling.
+        caller: source of the caller's name; without a name, a caller is identified by its peer address.
+        max_callers: maximum number of caller names that are remembered.
+        caller_idle_time: seconds without requests after which a caller's name may be evicted.
+        footprint_kb: memory reserved for a request in addition to its body.
+        extra_variables: variables passed to the backend in addition to the standard ones.
     """
 
     name: str
@@ -123,10 +128,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MappedRequest:
-    """What the core is asked; times in seconds, 0 where nothing was given.
+    """The attributes of a mapped request. Times are in seconds; 0 means that the request states no value.
 
-    `identity_parts` is what path and query add to the body in saying what is asked; `extra_variables` are
-    passed to the backend.
+    Attributes:
+        class_index: index of the request's class.
+        tenant: index of the tenant.
+        caller: number that identifies the caller.
+        idempotency_key: idempotency key, empty if the class needs none.
+        budget: time for which the caller still waits.
+        is_retry: whether the caller marked the request as a retry.
+        priority: priority, in [0, 1).
+        partition_key: hash of the name of the data that the request works on.
+        work_hint: expected run time.
+        footprint_kb: memory to reserve for the request, including its body.
+        identity_parts: parts of the path and query that, together with the body, identify what is requested.
+        extra_variables: additional variables to pass to the backend.
     """
 
     class_index: int
@@ -145,15 +161,15 @@
 
 @dataclass(frozen=True, slots=True)
 class MatchedRoute:
-    """A route, and what stands for the variable segments of its path."""
+    """A route, and the path segments that its wildcards matched."""
 
     route: Route
-    segments: tuple[str, ...]
+    captured_segments: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class RequestMapping:
-    """One mapping, with the callers that it knows."""
+    """The rules of one mapping, and the numbers of its callers."""
 
     settings: MappingSettings
     callers: CallerNumbers = field(init=False)
@@ -162,53 +178,67 @@
         self.callers = CallerNumbers(self.settings.max_callers, self.settings.caller_idle_time)
 
     def update(self, settings: MappingSettings) -> None:
-        """Take new rules; callers keep their numbers."""
+        """Replace the rules; callers keep their numbers."""
         self.settings = settings
         self.callers.max_names = settings.max_callers
         self.callers.idle_time = settings.caller_idle_time
 
     def map_request(self, now: float, variables: Mapping[str, str], peer: str, size: int) -> MappedRequest:
-        """What a request with these variables and a body of `size` bytes asks. Raises MappingError."""
+        """Map a request.
+
+        Args:
+            now: current time, in seconds.
+            variables: CGI variables of the request.
+            peer: address of the peer.
+            size: size of the body, in bytes.
+
+        Raises:
+            MappingError: The request violates the rules of the mapping.
+        """
         settings = self.settings
         matched = self.match_route(variables.get("REQUEST_METHOD", ""), variables.get("PATH_INFO", ""))
         class_index = matched.route.class_index
-        key = self._idempotency_key(class_index, variables)
+        idempotency_key = self._idempotency_key(class_index, variables)
         budget = settings.budget.number(variables)
         partition = settings.partition_key.text(variables)
         return MappedRequest(
             class_index=class_index,
             tenant=self._tenant(variables),
-            caller=self.callers.number(now, settings.caller.text(variables), peer),
-            idempotency_key=key,
+            caller=self.callers.number_for(now, settings.caller.text(variables), peer),
+            idempotency_key=idempotency_key,
             budget=0.0 if budget is None else max(MIN_BUDGET, budget),
             is_retry=settings.retry.text(variables).lower() in TRUE_VALUES,
             priority=settings.priority.number(variables, upper_bound=1.0) or 0.0,
-            partition_key=number_of(partition) if partition else 0,
+            partition_key=hash_name(partition) if partition else 0,
             work_hint=settings.work_hint.number(variables) or 0.0,
             footprint_kb=settings.footprint_kb + size / 1024,
-            identity_parts=_identity_parts(matched.segments, variables.get("QUERY_STRING", "")),
+            identity_parts=_identity_parts(matched.captured_segments, variables.get("QUERY_STRING", "")),
             extra_variables=tuple(
                 (name, variables[name]) for name in settings.extra_variables if name in variables
             ),
         )
 
     def match_route(self, method: str, path: str) -> MatchedRoute:
-        """The first route that matches. Raises MappingError if there is none."""
-        segments = _checked_segments(path)
-        path_is_known = False
+        """Return the first route that matches.
+
+        Raises:
+            MappingError: No route matches, or the path is malformed.
+        """
+        segments = _split_path(path)
+        path_matched = False
         for route in self.settings.routes:
-            found = route.pattern.match_segments(segments)
-            if found is None:
+            captured = route.pattern.match_segments(segments)
+            if captured is None:
                 continue
             if not route.methods or method in route.methods:
-                return MatchedRoute(route, found)
-            path_is_known = True
-        if path_is_known:
+                return MatchedRoute(route, captured)
+            path_matched = True
+        if path_matched:
             raise MappingError(METHOD_NOT_ALLOWED, f"{method or 'no method'} is not served on this path")
         raise MappingError(NOT_FOUND, "no route fits this path")
 
     def _idempotency_key(self, class_index: int, variables: Mapping[str, str]) -> str:
-        """The key of a request whose class needs one, else none."""
+        """Return the idempotency key if the class needs one, else an empty string."""
         source = self.settings.idempotency_key
         key = source.text(variables)
         if class_index not in self.settings.idempotent_classes:
@@ -227,8 +257,12 @@
         return settings.tenants.index(name)
 
 
-def _checked_segments(path: str) -> list[str]:
-    """The segments of a path that is complete and resolved. Raises MappingError."""
+def _split_path(path: str) -> list[str]:
+    """Split an absolute path without dot segments into its segments.
+
+    Raises:
+        MappingError: The path is malformed.
+    """
     if not path.startswith("/") or len(path) > MAX_PATH_LENGTH or "\0" in path:
         raise MappingError(BAD_REQUEST, "PATH_INFO: missing, too long or no path")
     segments = path[1:].split("/")
@@ -237,5 +271,5 @@
     return segments
 
 
-def _identity_parts(segments: tuple[str, ...], query: str) -> tuple[str, ...]:
-    return (*segments, query) if segments or query else ()
+def _identity_parts(captured_segments: tuple[str, ...], query: str) -> tuple[str, ...]:
+    return (*captured_segments, query) if captured_segments or query else ()
--- a/shelfhaven/routing/response_status.py
+++ b/shelfhaven/routing/response_status.py
@@ -1,7 +1,4 @@
-"""What the HTTP status of a response says of the run behind it, for backends and proxies alike.
-
-Pure: no I/O.
-"""
+"""Classification of HTTP status codes, from backends and from proxies, by what they say about the run."""
 
 from __future__ import annotations
 
@@ -14,15 +11,20 @@
 
 
 def is_success(status: int) -> bool:
-    """Whether the run went well and the response is its result."""
+    """Return whether the run succeeded, so that the response is its result."""
     return FIRST_SUCCESS <= status < FIRST_NON_SUCCESS
 
 
 def is_server_error(status: int) -> bool:
-    """Whether the run failed for a reason that is not in its request."""
+    """Return whether the run failed for a reason other than its request."""
     return status >= FIRST_SERVER_ERROR
 
 
 def is_rejection(status: int, not_run: bool) -> bool:
-    """Whether the request was rejected unrun; `not_run`: whether the response states that nothing ran."""
+    """Return whether the request was rejected without running.
+
+    Args:
+        status: HTTP status of the response.
+        not_run: whether the response states that the request was not run.
+    """
     return not_run and status in REJECTION_STATUSES
--- a/shelfhaven/routing/stream_admission.py
+++ b/shelfhaven/routing/stream_admission.py
@@ -1,38 +1,40 @@
-"""Admission of consultations: how many streams of proxies are taken, by count, by memory and by time.
+"""Admission control for the streams of consulting proxies, by stream count, buffered bytes and CPU time.
 
-A stream that is over the bounds is rejected before anything is read of it: one that is rejected takes half
-the work of one that is decided, and one too many makes the verdicts of all of them late.
+A stream over the limits is rejected before anything is read from it. Rejecting a stream takes half the work
+of deciding one, whereas admitting one stream too many delays the verdicts of all of them.
 
-Pure: no I/O and no clock, times are passed in.
+This module does no I/O and reads no clock; callers pass the current time.
 """
 
 from __future__ import annotations
 
 from shelfhaven.routing.processor_policy import ConsultSettings
 
-LOOP_ITERATIONS_PER_VERDICT = 6.0  # of the event loop, from a stream's start to its verdict on the wire
-MAX_LOOP_FRACTION = 0.5  # of the verdict's time that these may take before streams are rejected
+LOOP_ITERATIONS_PER_VERDICT = 6.0  # event loop iterations from the start of a stream to sending its verdict
+MAX_LOOP_FRACTION = 0.5  # fraction of the verdict budget that these iterations may take
 UPDATE_INTERVAL = 0.1  # seconds between updates of the shed fraction
-TARGET_UTILIZATION = 0.88  # of the loop's CPU time: the rest is for bursts
-SHED_GAIN = 0.6  # growth of the shed fraction for an excess of the whole CPU time, at each update
-WITHDRAWN_EXCESS = 0.25  # excess of CPU time that withdrawn requests count as
-MAX_SHED_FRACTION = 0.95  # some streams must be admitted to see that there is time again
-LAG_GAIN = 0.4  # weight of a tick in the mean lag: the last two or three count
+TARGET_UTILIZATION = 0.88  # of the CPU time that the event loop can use; the rest is headroom for bursts
+SHED_GAIN = 0.6  # change of the shed fraction per update, for an excess utilization of 1
+WITHDRAWN_EXCESS = 0.25  # minimum excess utilization assumed if requests were withdrawn
+MAX_SHED_FRACTION = 0.95  # below 1, because only admitted streams show that the overload is over
+LAG_GAIN = 0.4  # weight of the latest tick in the mean lag, which thus reflects the last two or three ticks
 
 
 class StreamLimits:
-    """Counts the streams and the buffered bytes of one listener, and bounds them."""
+    """Limits on the open streams and the buffered bytes of one listener."""
 
     def __init__(self, settings: ConsultSettings) -> None:
         self.settings = settings
         self.open_streams = 0
         self.buffered_bytes = 0
-        self.rejected = 0  # since the start, for the log
+        self.rejected = 0  # streams rejected since the start, for the log
 
     def admit(self, mean_lag: float, shed: bool = False) -> bool:
-        """Count one more stream if the limits allow it.
+        """Admit a stream and count it as open, if the limits allow it.
 
-        `mean_lag`: seconds that an iteration of the event loop takes now; `shed`: reject it in any case.
+        Args:
+            mean_lag: current mean duration of an event loop iteration, in seconds.
+            shed: whether to reject the stream regardless of the limits.
         """
         is_late = mean_lag * LOOP_ITERATIONS_PER_VERDICT > MAX_LOOP_FRACTION * self.settings.verdict_budget
         if shed or is_late or self.open_streams >= self.settings.max_streams:
@@ -42,35 +44,46 @@
         return True
 
     def reserve_bytes(self, count: int) -> bool:
-        """Count bytes that are buffered for a body, if the limit allows it; a negative count frees them."""
+        """Reserve bytes for buffering a body, if the limit allows it; a negative count frees bytes."""
         if count > 0 and self.buffered_bytes + count > self.settings.max_buffered_bytes:
             return False
         self.buffered_bytes = max(0, self.buffered_bytes + count)
         return True
 
     def release_stream(self) -> None:
-        """A stream ended."""
+        """Count an open stream as closed."""
         self.open_streams -= 1
 
 
 class LoadShedder:
-    """Sheds a fraction of new streams unread, so that the verdicts of the others come in time.
-
-    How many connections wait to be accepted cannot be seen here; that the process has no CPU time left can.
-    An integral controller on the process's own CPU time keeps it a little under all that one loop can use;
-    proxies that give up before a verdict count as no time left.
+    """Sheds a fraction of the new streams, so that the other streams get their verdicts in time.
+
+    The number of connections waiting to be accepted is not visible to the process, but its own CPU time is.
+    An integral controller keeps the CPU utilization slightly below what one event loop can use. A proxy that
+    withdraws a request before the verdict counts as evidence of overload.
+
+    Attributes:
+        cores: CPU cores that the event loop can use, at most 1.
+        shed_fraction: fraction of the new streams to shed.
+        shed_accumulator: sum of shed fractions; a stream is shed when it reaches 1, which is then deducted.
+        updated_at: time of the last update; 0 before the first one.
+        cpu_seconds: CPU time that the process had used at the last update.
+        withdrawn: requests withdrawn by proxies since the last update.
     """
 
     def __init__(self, cores: float) -> None:
-        self.cores = min(1.0, cores)  # an event loop uses one at most
+        self.cores = min(1.0, cores)  # an event loop uses at most one core
         self.shed_fraction = 0.0
-        self.shed_debt = 0.0  # streams that are owed to be shed
+        self.shed_accumulator = 0.0
         self.updated_at = 0.0
         self.cpu_seconds = 0.0
-        self.withdrawn = 0  # since the last update
+        self.withdrawn = 0
 
     def update(self, now: float, cpu_seconds: float) -> None:
-        """Take the CPU seconds that the process has used so far; too soon, it changes nothing."""
+        """Adjust the shed fraction to the CPU seconds that the process has used since its start.
+
+        Does nothing within `UPDATE_INTERVAL` of the last update.
+        """
         if self.updated_at and now - self.updated_at < UPDATE_INTERVAL:
             return
         if self.updated_at:
@@ -82,41 +95,47 @@
         self.withdrawn = 0
 
     def sheds_next(self) -> bool:
-        """Whether the next new stream is shed; those that are shed are spread evenly."""
-        self.shed_debt += self.shed_fraction
-        if self.shed_debt < 1.0:
+        """Return whether to shed the next new stream; shed streams are evenly spread among all."""
+        self.shed_accumulator += self.shed_fraction
+        if self.shed_accumulator < 1.0:
             return False
-        self.shed_debt -= 1.0
+        self.shed_accumulator -= 1.0
         return True
 
 
 class LoopLag:
-    """How late the event loop is: what is read after a pause may have arrived at its beginning.
-
-    `interval`: seconds between ticks; `memory`: seconds for which a pause still counts.
+    """Measures the lag of the event loop. Data read after a pause may have arrived when the pause began.
+
+    Attributes:
+        interval: seconds between ticks.
+        pause_retention: seconds for which a pause is taken into account after it ended.
+        next_tick: time at which the next tick is due; 0 before the first one.
+        last_lag: lag of the last tick that was more than one interval late.
+        last_lag_expires: time until which `last_lag` is taken into account.
+        mean_lag: moving average of the lag, an estimate of the duration of an event loop iteration.
     """
 
-    def __init__(self, interval: float, memory: float) -> None:
+    def __init__(self, interval: float, pause_retention: float) -> None:
         self.interval = interval
-        self.memory = memory
+        self.pause_retention = pause_retention
         self.next_tick = 0.0
         self.last_lag = 0.0
         self.last_lag_expires = 0.0
-        self.mean_lag = 0.0  # of the ticks: what an iteration of the loop takes
+        self.mean_lag = 0.0
 
     def tick(self, now: float) -> float:
-        """The loop's timer fired; returns when it is due next."""
+        """Record that the loop's timer fired; return the time at which it is due next."""
         if self.next_tick:
             lag = now - self.next_tick
             self.mean_lag += LAG_GAIN * (max(0.0, lag) - self.mean_lag)
             if lag > self.interval:
                 self.last_lag = lag
-                self.last_lag_expires = now + self.memory
+                self.last_lag_expires = now + self.pause_retention
         self.next_tick = now + self.interval
         return self.next_tick
 
     def lag_at(self, now: float) -> float:
-        """Seconds by which something read now may have arrived earlier, at worst."""
-        overdue = now - self.next_tick if self.next_tick else 0.0
-        recent = self.last_lag if now < self.last_lag_expires else 0.0
-        return max(recent, overdue if overdue > self.interval else 0.0)
+        """Return the maximum number of seconds for which data read now may have been waiting to be read."""
+        current_lag = now - self.next_tick if self.next_tick else 0.0
+        recent_lag = self.last_lag if now < self.last_lag_expires else 0.0
+        return max(recent_lag, current_lag if current_lag > self.interval else 0.0)
--- a/tests/routing/test_processor_policy.py
+++ b/tests/routing/test_processor_policy.py
@@ -1,4 +1,4 @@
-"""One consultation: one verdict, one end, nothing continued late."""
+"""Tests of the consultation state machine: one verdict, one end, and no late launch."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from shelfhaven.decision.settings import Outcome
 from shelfhaven.routing.backend import AttemptSignal
 from shelfhaven.routing.processor_policy import (
-    SIGNALS,
+    SIGNAL_BY_OUTCOME,
     Consultation,
     ConsultationStage,
     ConsultSettings,
@@ -27,18 +27,21 @@
 SETTINGS = ConsultSettings(verdict_timeout=0.2, verdict_margin=0.02, lease=1.0, max_body_bytes=10)
 
 
-def ended(outcome: Outcome, elapsed: float, result: bytes | None = None) -> RunEnded:
+def run_ended(outcome: Outcome, elapsed: float, result: bytes | None = None) -> RunEnded:
+    """Return the expected end of a run, with a tolerance for its elapsed time."""
     return RunEnded(outcome, cast(float, pytest.approx(elapsed)), result)
 
 
 def submitted(has_key: bool = False, shadow: bool = False, **changes: object) -> Consultation:
-    chosen = ConsultSettings(**({"lease": 1.0, "max_body_bytes": 10} | changes))  # type: ignore[arg-type]
-    consultation = Consultation(chosen, has_key, shadow, 0.0)
+    """Return a consultation that waits for the core; `changes` are settings."""
+    consult_settings = ConsultSettings(**({"lease": 1.0, "max_body_bytes": 10} | changes))  # type: ignore[arg-type]
+    consultation = Consultation(consult_settings, has_key, shadow, 0.0)
     assert consultation.request_headers(end_of_stream=True) == [Submit(b"")]
     return consultation
 
 
 def continued(has_key: bool = False) -> Consultation:
+    """Return a consultation whose proxy was told to continue, at time 0.1."""
     consultation = submitted(has_key)
     assert consultation.launched(0.1) == [Continue(request_result=has_key)]
     return consultation
@@ -48,14 +51,14 @@
     consultation = continued()
     assert consultation.response_headers(0.4, 200, False, False) == [
         PassThrough(),
-        ended(Outcome.OK, 0.3, b""),
+        run_ended(Outcome.OK, 0.3, b""),
     ]
     assert consultation.response_headers(0.5, 200, False, True) == [PassThrough()]
     assert consultation.closed(0.6) == []
     assert consultation.lease_expired(2.0) == []
 
 
-def test_a_launch_after_the_verdict_is_due_never_ran() -> None:
+def test_a_launch_after_the_verdict_was_due_is_not_continued() -> None:
     consultation = submitted()
     assert consultation.launched(0.19) == [RunEnded(Outcome.CONNECT_FAILED, 0.0)]
     assert consultation.rejected(0.2, 1.5, False) == [
@@ -64,14 +67,14 @@
     assert consultation.launched(0.2) == [RunEnded(Outcome.CONNECT_FAILED, 0.0)]
 
 
-def test_a_request_with_a_key_is_decided_with_its_complete_body() -> None:
+def test_a_request_with_a_key_is_submitted_with_its_complete_body() -> None:
     consultation = Consultation(SETTINGS, True, False, 0.0)
     assert consultation.request_headers(end_of_stream=False) == [PassThrough(request_body=True)]
     assert consultation.request_body(b"five", True) == [Submit(b"five")]
     assert consultation.launched(0.1) == [Continue(request_result=True)]
 
 
-def test_a_body_in_parts_or_too_large_is_answered_before_anything_runs() -> None:
+def test_a_partial_or_too_large_body_is_answered_without_a_run() -> None:
     consultation = Consultation(SETTINGS, True, False, 0.0)
     consultation.request_headers(end_of_stream=False)
     violation, answer = consultation.request_body(b"fi", False)
@@ -92,47 +95,47 @@
      (503, True, Outcome.REJECTED), (503, False, Outcome.ERROR), (429, True, Outcome.REJECTED)],
 )  # fmt: skip
 def test_the_status_of_the_response_decides_the_outcome(status: int, not_run: bool, outcome: Outcome) -> None:
-    ended = continued().response_headers(0.2, status, not_run, False)[1]
-    assert isinstance(ended, RunEnded)
-    assert ended.outcome is outcome
+    end = continued().response_headers(0.2, status, not_run, False)[1]
+    assert isinstance(end, RunEnded)
+    assert end.outcome is outcome
 
 
 def test_a_result_is_stored_completely_or_not_at_all() -> None:
     consultation = continued(has_key=True)
     assert consultation.response_headers(0.2, 200, False, False) == [PassThrough()]
     assert consultation.response_body(0.3, b"made", False) == [PassThrough()]
-    assert consultation.response_body(0.3, b" it", True)[1] == ended(Outcome.OK, 0.2, b"made it")
+    assert consultation.response_body(0.3, b" it", True)[1] == run_ended(Outcome.OK, 0.2, b"made it")
     consultation = continued(has_key=True)
     consultation.response_headers(0.2, 200, False, False)
-    assert consultation.response_body(0.3, b"x" * 11, False)[1] == ended(Outcome.OK, 0.2, None)
+    assert consultation.response_body(0.3, b"x" * 11, False)[1] == run_ended(Outcome.OK, 0.2, None)
     consultation = continued(has_key=True)
     consultation.response_headers(0.2, 200, False, False)
-    assert consultation.closed(0.3) == [ended(Outcome.OK, 0.2, None)]
+    assert consultation.closed(0.3) == [run_ended(Outcome.OK, 0.2, None)]
     consultation = continued(has_key=True)
-    assert consultation.response_headers(0.2, 404, False, True)[1] == ended(Outcome.ERROR, 0.1)
+    assert consultation.response_headers(0.2, 404, False, True)[1] == run_ended(Outcome.ERROR, 0.1)
 
 
-def test_trailers_end_a_result_that_came_in_parts() -> None:
+def test_response_trailers_end_a_streamed_result() -> None:
     consultation = continued(has_key=True)
     consultation.response_headers(0.2, 200, False, False)
     consultation.response_body(0.2, b"made", False)
-    assert consultation.trailers(0.3, of_response=True)[1] == ended(Outcome.OK, 0.2, b"made")
+    assert consultation.trailers(0.3, of_response=True)[1] == run_ended(Outcome.OK, 0.2, b"made")
 
 
 @pytest.mark.parametrize("fail_open", [True, False])
-def test_a_proxy_that_gives_up_early_may_have_forwarded_if_it_fails_open(fail_open: bool) -> None:
+def test_a_request_withdrawn_before_the_verdict_may_run_only_if_the_proxy_fails_open(fail_open: bool) -> None:
     consultation = submitted(fail_open=fail_open)
     assert consultation.closed(0.1) == [WithdrawRequest(may_run=fail_open)]
     assert consultation.launched(0.1) == [RunEnded(Outcome.CONNECT_FAILED, 0.0)]
 
 
-def test_a_proxy_that_leaves_after_the_verdict_may_have_run_it() -> None:
-    assert continued().closed(0.2) == [ended(Outcome.RESET, 0.1)]
+def test_a_run_whose_stream_closes_without_a_report_ends_as_reset() -> None:
+    assert continued().closed(0.2) == [run_ended(Outcome.RESET, 0.1)]
 
 
 def test_an_expired_lease_ends_a_run_without_reports_and_later_messages_are_ignored() -> None:
     consultation = continued()
-    assert consultation.lease_expired(1.1) == [ended(Outcome.TIMEOUT, 1.0, None)]
+    assert consultation.lease_expired(1.1) == [run_ended(Outcome.TIMEOUT, 1.0, None)]
     assert consultation.response_headers(1.2, 200, False, True) == [PassThrough()]
     assert consultation.ignored_messages == 1
 
@@ -140,28 +143,28 @@
 def test_an_expired_lease_of_a_proxy_that_never_reports_says_nothing_about_the_service() -> None:
     consultation = continued()
     consultation.never_reports = True
-    assert consultation.lease_expired(1.1) == [ended(Outcome.RESET, 1.0)]
+    assert consultation.lease_expired(1.1) == [run_ended(Outcome.RESET, 1.0)]
 
 
-def test_a_result_that_cannot_be_buffered_went_well_and_is_not_stored() -> None:
+def test_a_run_whose_result_cannot_be_buffered_succeeds_without_a_stored_result() -> None:
     consultation = continued(has_key=True)
     assert consultation.buffer_exhausted(0.2) == []
     consultation.response_headers(0.2, 200, False, False)
     consultation.response_body(0.2, b"made", False)
-    assert consultation.buffer_exhausted(0.3) == [ended(Outcome.OK, 0.2, None)]
+    assert consultation.buffer_exhausted(0.3) == [run_ended(Outcome.OK, 0.2, None)]
     assert consultation.response_body(0.4, b" it", True) == [PassThrough()]
 
 
-def test_an_unmappable_request_is_answered_unless_there_is_a_verdict() -> None:
+def test_a_request_that_cannot_be_mapped_is_answered_once() -> None:
     consultation = Consultation(SETTINGS, False, False, 0.0)
     assert consultation.unmappable(404, "no route") == [ImmediateResponse(404, "no route", not_run=True)]
     assert consultation.unmappable(404, "no route") == []
 
 
-def test_every_end_of_a_run_says_something_of_the_service_or_nothing() -> None:
+def test_each_end_of_a_run_has_its_signal_about_the_health_of_the_service() -> None:
     ends = [continued().response_headers(0.2, status, True, True)[1] for status in (200, 500, 503)]
     ends += [*continued().closed(0.2), *continued().lease_expired(1.1), *submitted().launched(0.2)]
-    signals = [SIGNALS[end.outcome] for end in ends if isinstance(end, RunEnded)]
+    signals = [SIGNAL_BY_OUTCOME[end.outcome] for end in ends if isinstance(end, RunEnded)]
     assert signals == [
         AttemptSignal.SUCCESS,
         AttemptSignal.FAILURE,
@@ -172,7 +175,7 @@
     ]
 
 
-def test_shadow_continues_whatever_is_decided_and_reports_nothing_more() -> None:
+def test_a_rejected_shadow_request_is_continued_and_its_end_is_not_reported() -> None:
     consultation = submitted(shadow=True)
     assert consultation.rejected(0.1, 1.0, False) == [Continue(request_result=False)]
     assert consultation.response_headers(0.2, 500, False, True) == [PassThrough()]
@@ -187,7 +190,7 @@
 
 OPERATIONS = st.lists(
     st.tuples(
-        st.sampled_from("body launched refused served failed headers result trailers closed lease".split()),
+        st.sampled_from("body launched rejected served failed headers result trailers closed lease".split()),
         st.sampled_from([0.0, 0.05, 0.3, 1.5]),
         st.booleans(),
         st.sampled_from([200, 404, 500, 503]),
@@ -199,7 +202,11 @@
 @settings(max_examples=400)
 @given(OPERATIONS, st.booleans(), st.booleans(), st.booleans(), st.booleans())
 def test_one_verdict_and_one_end_for_any_sequence_of_events(
-    ops: list[tuple[str, float, bool, int]], has_key: bool, shadow: bool, end: bool, fail_open: bool
+    operations: list[tuple[str, float, bool, int]],
+    has_key: bool,
+    shadow: bool,
+    end_of_stream: bool,
+    fail_open: bool,
 ) -> None:
     consultation = Consultation(
         ConsultSettings(lease=1.0, max_body_bytes=10, fail_open=fail_open),
@@ -210,9 +217,9 @@
     now = 0.0
     submits = verdicts = ends = 0
     launched = False
-    actions = consultation.request_headers(end)
-    last = [("closed", 0.0, False, 0), ("lease", 9.0, False, 0)]
-    for operation, wait, flag, status in [("", 0.0, False, 0), *ops, *last]:
+    actions = consultation.request_headers(end_of_stream)
+    final_operations = [("closed", 0.0, False, 0), ("lease", 9.0, False, 0)]
+    for operation, wait, flag, status in [("", 0.0, False, 0), *operations, *final_operations]:
         now += wait
         can_launch = consultation.stage is ConsultationStage.SUBMITTED
         match operation:
@@ -221,7 +228,7 @@
             case "launched":
                 launched = launched or can_launch
                 actions = consultation.launched(now) if can_launch else []
-            case "refused":
+            case "rejected":
                 actions = consultation.rejected(now, 1.0, flag)
             case "served":
                 actions = consultation.served(b"r")
--- a/tests/routing/test_request_mapping.py
+++ b/tests/routing/test_request_mapping.py
@@ -1,10 +1,10 @@
-"""From a gateway's variables to what the core is asked."""
+"""Tests of the mapping of CGI variables to requests to the core."""
 
 from __future__ import annotations
 
 import pytest
 
-from shelfhaven.routing.caller_numbers import number_of
+from shelfhaven.routing.caller_numbers import hash_name
 from shelfhaven.routing.path_pattern import PathPattern, Route
 from shelfhaven.routing.request_mapping import (
     AttributeSource,
@@ -16,7 +16,6 @@
 
 BALANCE, TOPUP = 0, 1
 
-
 SETTINGS = MappingSettings(
     "vendors",
     (
@@ -32,46 +31,46 @@
 )
 
 
-def map_request(method: str, path: str, size: int = 0, **more: str) -> MappedRequest:
-    variables = {"REQUEST_METHOD": method, "PATH_INFO": path, **more}
+def map_request(method: str, path: str, size: int = 0, **extra_variables: str) -> MappedRequest:
+    variables = {"REQUEST_METHOD": method, "PATH_INFO": path, **extra_variables}
     return RequestMapping(SETTINGS).map_request(0.0, variables, "10.0.0.1", size)
 
 
 def test_a_request_is_mapped_with_all_its_attributes() -> None:
-    got = map_request(
+    mapped = map_request(
         "POST", "/topup", 2048, HTTP_IDEMPOTENCY_KEY="k", HTTP_X_TIME_LEFT_MS="1500", HTTP_X_RETRY="1",
         HTTP_X_RANK="0.25", HTTP_X_TENANT="bank", HTTP_X_GATEWAY="g1", HTTP_X_WORK_MS="12", HTTP_X_ROW="acct",
     )  # fmt: skip
-    assert (got.class_index, got.tenant, got.idempotency_key, got.is_retry, got.priority) == (
+    assert (mapped.class_index, mapped.tenant, mapped.idempotency_key, mapped.is_retry, mapped.priority) == (
         TOPUP,
         1,
         "k",
         True,
         0.25,
     )
-    assert (got.budget, got.work_hint, got.footprint_kb) == (1.5, 0.012, 26.0)
-    assert got.caller == number_of("name g1")
-    assert got.partition_key == number_of("acct")
-    assert got.identity_parts == ()
-    assert got.extra_variables == (("HTTP_X_TENANT", "bank"),)
+    assert (mapped.budget, mapped.work_hint, mapped.footprint_kb) == (1.5, 0.012, 26.0)
+    assert mapped.caller == hash_name("name g1")
+    assert mapped.partition_key == hash_name("acct")
+    assert mapped.identity_parts == ()
+    assert mapped.extra_variables == (("HTTP_X_TENANT", "bank"),)
 
 
-def test_missing_attributes_have_their_defaults() -> None:
-    got = map_request("GET", "/balance/234")
-    assert (got.tenant, got.idempotency_key, got.budget) == (0, "", 0.0)
-    assert (got.is_retry, got.priority, got.partition_key) == (False, 0.0, 0)
-    assert got.caller == number_of("peer 10.0.0.1")
-    assert got.identity_parts == ("234", "")
+def test_missing_attributes_get_their_default_values() -> None:
+    mapped = map_request("GET", "/balance/234")
+    assert (mapped.tenant, mapped.idempotency_key, mapped.budget) == (0, "", 0.0)
+    assert (mapped.is_retry, mapped.priority, mapped.partition_key) == (False, 0.0, 0)
+    assert mapped.caller == hash_name("peer 10.0.0.1")
+    assert mapped.identity_parts == ("234", "")
 
 
-def test_a_key_is_ignored_in_a_class_without_one_and_no_budget_left_is_not_an_unknown_budget() -> None:
-    got = map_request("GET", "/balance/1", HTTP_IDEMPOTENCY_KEY="k", HTTP_X_TIME_LEFT_MS="0")
-    assert got.idempotency_key == ""
-    assert got.budget > 0
+def test_a_key_is_ignored_for_a_class_without_keys_and_a_spent_budget_differs_from_an_unknown_one() -> None:
+    mapped = map_request("GET", "/balance/1", HTTP_IDEMPOTENCY_KEY="k", HTTP_X_TIME_LEFT_MS="0")
+    assert mapped.idempotency_key == ""
+    assert mapped.budget > 0
 
 
 @pytest.mark.parametrize(
-    ("method", "path", "more", "status", "says"),
+    ("method", "path", "extra_variables", "status", "message"),
     [
         ("POST", "/topup", {}, 400, "HTTP_IDEMPOTENCY_KEY: missing"),
         ("GET", "/topup", {}, 405, "GET is not served"),
@@ -92,8 +91,8 @@
     ],
 )
 def test_a_request_that_cannot_be_mapped_raises(
-    method: str, path: str, more: dict[str, str], status: int, says: str
+    method: str, path: str, extra_variables: dict[str, str], status: int, message: str
 ) -> None:
-    with pytest.raises(MappingError, match=says) as raised:
-        map_request(method, path, 0, **more)
+    with pytest.raises(MappingError, match=message) as raised:
+        map_request(method, path, 0, **extra_variables)
     assert raised.value.status == status
--- a/tests/routing/test_run_router.py
+++ b/tests/routing/test_run_router.py
@@ -1,4 +1,4 @@
-"""What becomes of a run: its attempts, its retries and its one end."""
+"""Tests of run routing: attempts, retries, and the single end of each run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RouterHarness:
-    """Runs of one pool; `now` moves by hand."""
+    """A router with `count` backends and a manual clock; `changes` are pool settings."""
 
     def __init__(self, count: int = 3, **changes: float) -> None:
         names = [f"s{n}" for n in range(count)]
@@ -27,21 +27,21 @@
         self.sent: list[SendAttempt] = []
         self.finished: list[RunFinished] = []
 
-    def act(self, actions: list[SendAttempt | RunFinished]) -> list[SendAttempt]:
+    def record(self, actions: list[SendAttempt | RunFinished]) -> list[SendAttempt]:
         sent = [action for action in actions if isinstance(action, SendAttempt)]
         self.sent += sent
         self.finished += [action for action in actions if isinstance(action, RunFinished)]
         return sent
 
     def launch(
-        self, run_id: str, idempotent: bool = True, has_key: bool = False, patience: float = 5.0
+        self, run_id: str, idempotent: bool = True, has_key: bool = False, time_left: float = 5.0
     ) -> list[SendAttempt]:
-        return self.act(
-            self.router.launch(self.now, Run(run_id, "c", self.now + patience, idempotent, has_key))
+        return self.record(
+            self.router.launch(self.now, Run(run_id, "c", self.now + time_left, idempotent, has_key))
         )
 
     def end(self, attempt: int, result: AttemptResult) -> list[SendAttempt]:
-        return self.act(self.router.attempt_ended(self.now, attempt, result))
+        return self.record(self.router.attempt_ended(self.now, attempt, result))
 
 
 def test_a_run_that_is_served_finishes_once() -> None:
@@ -54,20 +54,20 @@
     assert not harness.router.runs
 
 
-@pytest.mark.parametrize("end", [AttemptResult.UNREACHABLE, AttemptResult.NOT_RUN])
-def test_a_run_that_is_known_not_to_have_run_is_retried_elsewhere_whatever_its_class(
-    end: AttemptResult,
+@pytest.mark.parametrize("result", [AttemptResult.UNREACHABLE, AttemptResult.NOT_RUN])
+def test_a_run_that_is_known_not_to_have_run_is_retried_even_if_not_idempotent(
+    result: AttemptResult,
 ) -> None:
     harness = RouterHarness()
     (first,) = harness.launch("a", idempotent=False, has_key=True)
-    (second,) = harness.end(first.attempt, end)
+    (second,) = harness.end(first.attempt, result)
     assert second.backend != first.backend
     harness.end(second.attempt, AttemptResult.SERVED)
     assert [finished.outcome for finished in harness.finished] == [Outcome.OK]
 
 
 @pytest.mark.parametrize(
-    ("end", "outcome"),
+    ("result", "outcome"),
     [
         (AttemptResult.BROKEN, Outcome.RESET),
         (AttemptResult.TIMEOUT, Outcome.TIMEOUT),
@@ -75,46 +75,48 @@
     ],
 )
 def test_a_run_that_may_have_run_is_retried_only_if_it_is_idempotent(
-    end: AttemptResult, outcome: Outcome
+    result: AttemptResult, outcome: Outcome
 ) -> None:
     harness = RouterHarness()
     (safe,) = harness.launch("safe")
     (once,) = harness.launch("once", idempotent=False)
-    assert len(harness.end(safe.attempt, end)) == 1
-    assert harness.end(once.attempt, end) == []
+    assert len(harness.end(safe.attempt, result)) == 1
+    assert harness.end(once.attempt, result) == []
     assert [(finished.run_id, finished.outcome) for finished in harness.finished] == [("once", outcome)]
 
 
-def test_failures_of_local_backends_are_counted_wherever_the_run_is_served_in_the_end() -> None:
+def test_a_failure_of_a_local_backend_is_counted_even_if_a_retry_succeeds() -> None:
     harness = RouterHarness(2)
     harness.router.pool.locality = LocalityRouter(LocalitySettings(), "a", Random(1))
     harness.router.pool.zones = {"s0": "a", "s1": "b"}
-    for end in (AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.UNREACHABLE):
-        (first,) = harness.launch(end.value)
+    for result in (AttemptResult.BROKEN, AttemptResult.TIMEOUT, AttemptResult.UNREACHABLE):
+        (first,) = harness.launch(result.value)
         assert first.backend == "s0"
-        (second,) = harness.end(first.attempt, end)
+        (second,) = harness.end(first.attempt, result)
         harness.end(second.attempt, AttemptResult.SERVED)
         assert (second.backend, harness.finished[-1].outcome) == ("s1", Outcome.OK)
         assert harness.router.local_results == {
             ("c", True): 1
-        }, "slower than typical, or not there, is not failing"
+        }, "a retried timeout and an unreachable backend do not count as failures"
     (once,) = harness.launch("once", idempotent=False)
     harness.end(once.attempt, AttemptResult.TIMEOUT)
-    assert harness.router.local_results["c", True] == 2, "nobody served that in its place"
+    assert (
+        harness.router.local_results["c", True] == 2
+    ), "the timeout of a run that is not retried counts as a failure"
     (good,) = harness.launch("good")
     harness.end(good.attempt, AttemptResult.SERVED)
     assert harness.router.local_results["c", False] == 1
 
 
-@pytest.mark.parametrize("end", [AttemptResult.FAILED, AttemptResult.REJECTED])
-def test_an_answer_that_another_backend_would_give_too_is_final(end: AttemptResult) -> None:
+@pytest.mark.parametrize("result", [AttemptResult.FAILED, AttemptResult.REJECTED])
+def test_a_response_that_any_backend_would_give_is_not_retried(result: AttemptResult) -> None:
     harness = RouterHarness()
     (send,) = harness.launch("a")
-    assert harness.end(send.attempt, end) == []
+    assert harness.end(send.attempt, result) == []
     assert harness.finished[0].outcome is Outcome.ERROR
 
 
-def test_a_run_that_no_backend_took_never_ran_and_one_that_may_have_is_not_rejected() -> None:
+def test_only_a_run_that_reached_no_backend_ends_as_connect_failed() -> None:
     harness = RouterHarness(2)
     (send,) = harness.launch("a")
     (send,) = harness.end(send.attempt, AttemptResult.UNREACHABLE)
@@ -132,13 +134,13 @@
     (other,) = harness.launch("b")
     assert not harness.end(other.attempt, AttemptResult.UNREACHABLE)
     assert harness.finished[0].run_id == "b"
-    late = RouterHarness()
-    (send,) = late.launch("c", patience=1.0)
-    late.now = 1.0
-    assert not late.end(send.attempt, AttemptResult.UNREACHABLE)
+    expired = RouterHarness()
+    (send,) = expired.launch("c", time_left=1.0)
+    expired.now = 1.0
+    assert not expired.end(send.attempt, AttemptResult.UNREACHABLE)
 
 
-def test_a_run_without_capacity_waits_for_it_within_bounds() -> None:
+def test_a_run_without_capacity_waits_within_the_limits_of_the_queue() -> None:
     harness = RouterHarness(1, initial_limit=1, max_limit=1, max_pending_time=0.25, max_pending_runs=1)
     (send,) = harness.launch("a")
     assert harness.launch("b") == []
@@ -149,16 +151,16 @@
     assert harness.launch("d") == []
     assert harness.router.next_advance(harness.now) == pytest.approx(0.35)
     harness.now = 0.36
-    harness.act(harness.router.advance(harness.now))
+    harness.record(harness.router.advance(harness.now))
     assert (harness.finished[-1].run_id, harness.finished[-1].outcome) == ("d", Outcome.REJECTED)
     assert harness.finished[-1].elapsed == pytest.approx(0.26)
 
 
-def test_attempt_timeouts_are_longer_with_a_key_and_shorter_where_a_retry_is_possible() -> None:
+def test_attempt_timeouts_are_longer_with_a_key_and_shorter_if_a_retry_is_possible() -> None:
     harness = RouterHarness()
     (send,) = harness.launch("warm")
     harness.now = 0.1
-    harness.end(send.attempt, AttemptResult.SERVED)  # now typical: 0.1 s
+    harness.end(send.attempt, AttemptResult.SERVED)  # the typical latency is 0.1 s now
     (safe,) = harness.launch("s")
     (once,) = harness.launch("o", idempotent=False)
     (keyed,) = harness.launch("k", idempotent=False, has_key=True)
@@ -167,10 +169,10 @@
     assert once.timeout == pytest.approx(5.0)
 
 
-def test_runs_at_a_backend_that_drains_end_there() -> None:
+def test_runs_at_a_draining_backend_finish_there() -> None:
     harness = RouterHarness(2)
     sends = [harness.launch(f"r{n}")[0] for n in range(4)]
-    harness.act(harness.router.update(0.1, SETTINGS, ["s1"]))
+    harness.record(harness.router.update(0.1, SETTINGS, ["s1"]))
     for send in sends:
         harness.end(send.attempt, AttemptResult.SERVED)
     assert [finished.outcome for finished in harness.finished] == [Outcome.OK] * 4
@@ -187,44 +189,44 @@
 
 @settings(max_examples=300)
 @given(st.lists(OPERATIONS, max_size=80))
-def test_rules_of_attempts_hold_for_any_sequence_of_events(operations: list[tuple]) -> None:  # type: ignore[type-arg]
+def test_attempts_follow_the_rules_for_any_sequence_of_events(operations: list[tuple]) -> None:  # type: ignore[type-arg]
     harness = RouterHarness(4, initial_limit=2, max_pending_runs=3)
     names = {"s0", "s1", "s2", "s3"}
     launched: dict[str, Run] = {}
-    ends: dict[str, list[AttemptResult]] = {}
+    results: dict[str, list[AttemptResult]] = {}
     in_flight: dict[int, SendAttempt] = {}
 
-    def note(sends: list[SendAttempt]) -> None:
+    def check_sends(sends: list[SendAttempt]) -> None:
         for send in sends:
             run = launched[send.run_id]
-            assert send.backend in names  # nothing goes to a backend that is not on the list
+            assert send.backend in names  # only to backends on the current list
             assert send.timeout >= 0
             assert not any(other.run_id == send.run_id for other in in_flight.values())
-            before = ends[send.run_id]
+            earlier_results = results[send.run_id]
             assert run.idempotent or all(
-                end in (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE) for end in before
+                result in (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE) for result in earlier_results
             )
-            assert AttemptResult.SERVED not in before
-            assert len(before) < SETTINGS.max_attempts
+            assert AttemptResult.SERVED not in earlier_results
+            assert len(earlier_results) < SETTINGS.max_attempts
             in_flight[send.attempt] = send
 
     for operation in operations:
         if operation[0] == "launch":
             run_id = f"r{len(launched)}"
             launched[run_id] = Run(run_id, "c", harness.now + operation[3], operation[1], operation[2])
-            ends[run_id] = []
-            note(harness.act(harness.router.launch(harness.now, launched[run_id])))
+            results[run_id] = []
+            check_sends(harness.record(harness.router.launch(harness.now, launched[run_id])))
         elif operation[0] == "end" and in_flight:
             attempt = sorted(in_flight)[operation[1] % len(in_flight)]
-            ends[in_flight.pop(attempt).run_id].append(operation[2])
-            note(harness.end(attempt, operation[2]))
+            results[in_flight.pop(attempt).run_id].append(operation[2])
+            check_sends(harness.end(attempt, operation[2]))
         elif operation[0] == "time":
             harness.now += operation[1]
-            note(harness.act(harness.router.advance(harness.now)))
+            check_sends(harness.record(harness.router.advance(harness.now)))
         elif operation[0] == "list":
             names = set(operation[1])
             changed = replace(SETTINGS, initial_limit=2, max_pending_runs=3)
-            note(harness.act(harness.router.update(harness.now, changed, sorted(names))))
+            check_sends(harness.record(harness.router.update(harness.now, changed, sorted(names))))
         assert len(harness.router.pending) <= 3
         assert harness.router.retries <= SETTINGS.retry_reserve + SETTINGS.retry_ratio * len(launched)
         assert all(
@@ -232,18 +234,18 @@
         )
     while in_flight:
         attempt = min(in_flight)
-        ends[in_flight.pop(attempt).run_id].append(AttemptResult.SERVED)
-        note(harness.end(attempt, AttemptResult.SERVED))
+        results[in_flight.pop(attempt).run_id].append(AttemptResult.SERVED)
+        check_sends(harness.end(attempt, AttemptResult.SERVED))
     harness.now += 10
-    harness.act(harness.router.advance(harness.now))
-    over = Counter(end.run_id for end in harness.finished)
-    assert over == Counter(dict.fromkeys(launched, 1))  # one end each
-    for end in harness.finished:
-        ran = [
+    harness.record(harness.router.advance(harness.now))
+    end_counts = Counter(finished.run_id for finished in harness.finished)
+    assert end_counts == Counter(dict.fromkeys(launched, 1))
+    for finished in harness.finished:
+        results_with_run = [
             result
-            for result in ends[end.run_id]
+            for result in results[finished.run_id]
             if result not in (AttemptResult.NOT_RUN, AttemptResult.UNREACHABLE)
         ]
-        assert (end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED)) == (not ran)
-        assert (end.outcome is Outcome.OK) == (AttemptResult.SERVED in ran)
+        assert (finished.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED)) == (not results_with_run)
+        assert (finished.outcome is Outcome.OK) == (AttemptResult.SERVED in results_with_run)
     assert not harness.router.pool.backend_by_attempt
--- a/tests/routing/test_stream_admission.py
+++ b/tests/routing/test_stream_admission.py
@@ -1,4 +1,4 @@
-"""Admission of consultations: limits of streams, load shedding and the loop's lag."""
+"""Tests of admission control: stream limits, load shedding and event loop lag."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert streams.reserve_bytes(10)
 
 
-def test_streams_are_rejected_while_the_loop_is_too_late_for_verdicts() -> None:
+def test_streams_are_rejected_while_the_event_loop_lags_too_much_for_timely_verdicts() -> None:
     streams = StreamLimits(ConsultSettings(verdict_timeout=0.2, verdict_margin=0.02))
     lag = LoopLag(0.02, 0.05)
     now = 10.0
@@ -38,46 +38,46 @@
     assert streams.admit(lag.mean_lag)
 
 
-def test_a_process_without_cpu_time_sheds_a_fraction_and_admits_all_again_later() -> None:
+def test_a_process_at_its_cpu_limit_sheds_streams_until_its_utilization_falls() -> None:
     shedder = LoadShedder(1.0)
     now = 10.0
-    cpu = 0.0
+    cpu_seconds = 0.0
     for _ in range(10):
-        shedder.update(now, cpu)
+        shedder.update(now, cpu_seconds)
         now += 0.1
-        cpu += 0.05
+        cpu_seconds += 0.05
     assert shedder.shed_fraction == 0.0
     for _ in range(10):
-        shedder.update(now, cpu)
+        shedder.update(now, cpu_seconds)
         now += 0.1
-        cpu += 0.1
+        cpu_seconds += 0.1
     assert 0.2 < shedder.shed_fraction <= 0.95
-    shed = sum(shedder.sheds_next() for _ in range(100))
-    assert shed == pytest.approx(100 * shedder.shed_fraction, abs=1)
+    shed_count = sum(shedder.sheds_next() for _ in range(100))
+    assert shed_count == pytest.approx(100 * shedder.shed_fraction, abs=1)
     for _ in range(40):
-        shedder.update(now, cpu)
+        shedder.update(now, cpu_seconds)
         now += 0.1
-        cpu += 0.05
+        cpu_seconds += 0.05
     assert shedder.shed_fraction == 0.0
 
 
-def test_withdrawn_requests_count_as_no_cpu_time_left_whatever_the_process_used() -> None:
+def test_withdrawn_requests_count_as_overload_whatever_the_cpu_utilization() -> None:
     shedder = LoadShedder(1.0)
     shedder.update(10.0, 0.0)
     shedder.withdrawn = 3
     shedder.update(10.05, 0.01)
-    assert shedder.shed_fraction == 0.0  # too soon
+    assert shedder.shed_fraction == 0.0  # within the update interval
     shedder.update(10.11, 0.01)
     assert shedder.shed_fraction > 0.1
     assert shedder.withdrawn == 0
 
 
-def test_what_is_read_after_a_pause_may_have_arrived_at_its_beginning() -> None:
+def test_lag_includes_the_whole_pause_before_the_data_was_read() -> None:
     lag = LoopLag(0.02, 0.05)
     assert lag.lag_at(5.0) == 0.0
     lag.tick(10.0)
     assert lag.lag_at(10.02) == 0.0
-    assert lag.lag_at(11.02) == pytest.approx(1.0)  # before the tick that is overdue
+    assert lag.lag_at(11.02) == pytest.approx(1.0)  # the next tick is overdue
     lag.tick(11.02)
     assert lag.lag_at(11.03) == pytest.approx(1.0)
     lag.tick(11.04)
