--- a/shelfhaven/backends/__init__.py
+++ b/shelfhaven/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backends: who runs requests for the core, or is called by their runs."""
+"""Backends: the runners that execute requests, and the ledger that their runs call."""
--- a/shelfhaven/backends/agent.py
+++ b/shelfhaven/backends/agent.py
@@ -1,7 +1,8 @@
-"""Actor of the render farm agent: the connection to it, kept open.
+"""Actor for the persistent connection to the render farm agent.
 
-It knows the number of the last notice that was read and the commands whose fate is uncertain. It issues no
-command of its own accord, and sends none again before it has read what happened meanwhile.
+The actor tracks the number of the last notice that it read, and the commands whose effect is unknown. It
+sends only commands of the core, apart from a subscription and a gauge sample on each new connection. After a
+reconnect, it resends pending commands only once it has read all notices that the agent replays.
 """
 
 from __future__ import annotations
@@ -26,11 +27,11 @@
 from shelfhaven.server.mailbox import Mailbox
 
 READ_SIZE = 64 * 1024  # bytes
-MIN_BACKOFF = 0.02  # seconds between attempts to connect, at first
-MAX_BACKOFF = 0.5  # seconds; it doubles up to this
-CONNECT_TIMEOUT = 2.0  # seconds; a connect that hangs is given up and tried again
-SAMPLE_TIMEOUT = 3.0  # seconds for the answer to a sample, ten times the longest pause that machines have
-RESTART_MARGIN = 1.0  # seconds, for clocks and delays, in telling an agent from its previous incarnation
+MIN_BACKOFF = 0.02  # seconds; initial delay between connection attempts
+MAX_BACKOFF = 0.5  # seconds; the delay doubles up to this
+CONNECT_TIMEOUT = 2.0  # seconds, after which a connection attempt is abandoned and repeated
+SAMPLE_TIMEOUT = 3.0  # seconds for the answer to a sample; ten times the longest pause of a machine
+RESTART_MARGIN = 1.0  # seconds of tolerance for clock errors and delays in detecting a restart of the agent
 
 EventSink: TypeAlias = Callable[[messages.RunnerEvent], None]
 AgentMessage: TypeAlias = messages.RunnerCommand | messages.SampleGauges
@@ -42,8 +43,8 @@
 }
 
 
-def command_of(message: AgentMessage) -> wire.RunCommand | wire.SampleGauges:
-    """A message of the core in the agent's protocol."""
+def to_agent_command(message: AgentMessage) -> wire.RunCommand | wire.SampleGauges:
+    """Convert a message of the core to a command in the agent's protocol."""
     match message:
         case messages.LaunchRun():
             return wire.LaunchRun(message.attempt_id, message.class_name, message.body)
@@ -57,38 +58,43 @@
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command of which nothing was heard yet, and on how many connections it was sent."""
+    """A command to which no notice has responded yet, and how many times it was sent."""
 
     command: wire.RunCommand
-    connections: int
+    times_sent: int
 
 
 class Agent:
-    """Actor of the render farm agent.
+    """Actor for the render farm agent.
 
     Attributes:
-        up: whether the connection carries commands: it is open and all that the agent replays was read.
-        pending: by run, the command of which nothing was heard since it was sent.
+        address: address of the agent; None if there is no agent.
+        stream: current connection.
+        outgoing: encoded commands that have not been written to the connection yet.
+        pending: commands to which no notice has responded since they were sent, by run ID.
         last_notice: number of the last notice that was read.
-        connections: connections that were made.
-        resumptions: connections that came to carry commands.
-        replay_tag: tag of the sample whose answer ends what a new connection replays; empty without one.
-        unanswered_since: when the oldest sample that has no answer was sent.
-        subscribed_at: when the current connection subscribed.
-        first_greeted_at: when the agent that is known here first greeted.
-        reconnect: set to end the backoff before the next connection.
+        connection_count: number of connections made so far.
+        resumptions: number of connections on which the replay of notices was completed.
+        replay_tag: tag of the sample whose answer marks the end of the replay on a new connection; empty if
+            no replay is in progress.
+        up: whether commands can be sent: the connection is open, and its replay of notices is complete.
+        unanswered_since: time of the first sample since data was last received; None if there was none.
+        subscribed_at: time at which the current connection subscribed to notices.
+        first_greeted_at: time of the first greeting of the current incarnation of the agent.
+        ended: whether the actor has ended.
+        reconnect: event that ends the backoff before the next connection.
     """
 
     def __init__(self, address: Address | None, tell: EventSink, log: Log) -> None:
         self.address = address
         self.tell = tell
         self.log = log
-        self.mailbox: Mailbox[AgentMessage] = Mailbox(self._take, log, self._flush)
+        self.mailbox: Mailbox[AgentMessage] = Mailbox(self._handle_message, log, self._flush)
         self.stream: IOStream | None = None
         self.outgoing: list[bytes] = []
         self.pending: dict[str, PendingCommand] = {}
         self.last_notice = 0
-        self.connections = 0
+        self.connection_count = 0
         self.resumptions = 0
         self.replay_tag = ""
         self.up = False
@@ -99,16 +105,16 @@
         self.reconnect = asyncio.Event()
 
     def put(self, message: AgentMessage) -> None:
-        """Take a command."""
+        """Queue a command."""
         self.mailbox.put(message)
 
     def move(self, address: Address | None) -> None:
-        """Connect to another address from now on; runs and notice numbers go on."""
+        """Use another address from now on; runs and notice numbers are kept."""
         if address != self.address:
             self.address = address
             self.reconnect.set()
             if self.stream:
-                # results of its last commands are read on the next connection, or they are resent
+                # The next connection replays the results of the last commands, or the commands are resent.
                 self.stream.close()
 
     def end(self) -> None:
@@ -118,20 +124,20 @@
 
     # Commands
 
-    def _take(self, message: AgentMessage) -> None:
-        command = command_of(message)
+    def _handle_message(self, message: AgentMessage) -> None:
+        command = to_agent_command(message)
         if not isinstance(command, wire.SampleGauges):
             self.pending[command.run_id] = PendingCommand(command, int(self.up))
         if self.up:
             self.outgoing.append(wire.encode_command(command))
             if isinstance(command, wire.SampleGauges):
-                self._check_silence()
+                self._check_sample_timeout()
 
-    def _check_silence(self) -> None:
-        """Close a connection on which samples stay unanswered: a peer that is cut off sends no end of stream.
+    def _check_sample_timeout(self) -> None:
+        """Close the connection if samples remain unanswered, as after a network failure that sends no FIN.
 
-        It costs a connection where the agent stalls for long: runs go on without one, and their notices are
-        read on the next.
+        If the agent has merely stalled, this costs only the connection: runs continue without one, and the
+        next connection replays their notices.
         """
         now = time.monotonic()
         if self.unanswered_since is None:
@@ -149,20 +155,20 @@
     # Connection
 
     async def run(self) -> None:
-        """Keep the connection open until the actor ends; without an address there is no agent."""
+        """Keep the connection open until the actor ends; return at once if there is no agent."""
         backoff = MIN_BACKOFF
         while self.address and not self.ended:
-            resumptions = self.resumptions
+            resumptions_before = self.resumptions
             with FailureBoundary(self.log, "agent_failed"):
                 await self._serve_connection(self.address)
             self._disconnect()
-            # a connection that breaks before all was replayed may break at the same place again
-            backoff = MIN_BACKOFF if self.resumptions > resumptions else min(2 * backoff, MAX_BACKOFF)
+            # A connection that broke before its replay was complete may break again in the same place.
+            backoff = MIN_BACKOFF if self.resumptions > resumptions_before else min(2 * backoff, MAX_BACKOFF)
             if not self.ended:
                 await self._back_off(backoff)
 
     async def _back_off(self, seconds: float) -> None:
-        """Wait before the next connection, unless the agent moves."""
+        """Wait before the next connection, or until the address changes."""
         self.reconnect.clear()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.reconnect.wait(), seconds)
@@ -182,7 +188,7 @@
         self.stream = stream
         await asyncio.wait_for(stream.connect((address.host, address.port)), CONNECT_TIMEOUT)
         stream.set_nodelay(True)
-        self.connections += 1
+        self.connection_count += 1
         self.subscribed_at = time.monotonic()
         await stream.write(wire.encode_subscription(self.last_notice))
         return stream
@@ -190,7 +196,7 @@
     async def _read_notices(self, stream: IOStream) -> None:
         parser = wire.NoticeParser()
         while True:
-            # the agent may come up long after this program, so its greeting is awaited however long it takes
+            # The agent may start long after this process, so there is no timeout before its greeting.
             timeout = SAMPLE_TIMEOUT if self.replay_tag else None
             data = await asyncio.wait_for(stream.read_bytes(READ_SIZE, partial=True), timeout)
             self.unanswered_since = None
@@ -217,28 +223,28 @@
             case wire.AgentGreeted():
                 self._greeted(notice)
             case wire.GaugesSampled():
-                self._sampled(notice)
+                self._handle_sample(notice)
             case wire.RunOutcome() | wire.CallRequested() | wire.Remark():
-                self._numbered(notice)
+                self._handle_numbered_notice(notice)
             case wire.MalformedLine():
-                self._malformed(notice)
+                self._handle_malformed_line(notice)
             case wire.CommandRejected():
-                self._rejected(notice)
+                self._handle_rejection(notice)
 
-    def _numbered(self, notice: wire.RunOutcome | wire.CallRequested | wire.Remark) -> None:
-        """A notice that is replayed on each connection until a later one was read: read it once."""
+    def _handle_numbered_notice(self, notice: wire.RunOutcome | wire.CallRequested | wire.Remark) -> None:
+        """Handle a numbered notice once, although a new connection may replay it."""
         if notice.number <= self.last_notice:
             return
         self.last_notice = notice.number
         match notice:
             case wire.RunOutcome():
                 self.pending.pop(notice.run_id, None)
-                self._run_ended(notice)
+                self._report_run_end(notice)
             case wire.CallRequested():
                 self.pending.pop(notice.run_id, None)
                 self.tell(messages.CallRequested(notice.run_id, notice.number, notice.body))
 
-    def _run_ended(self, ended: wire.RunOutcome) -> None:
+    def _report_run_end(self, ended: wire.RunOutcome) -> None:
         outcome = OUTCOMES.get(ended.end)
         if outcome is None:
             self.log.event("agent_unknown_end", end=ended.end)
@@ -248,58 +254,59 @@
         )
 
     def _greeted(self, greeting: wire.AgentGreeted) -> None:
-        """The agent is up; the sample that is sent now is answered after all that it replays."""
+        """Handle the greeting: send a sample, whose answer follows all notices that the agent replays."""
         now = time.monotonic()
-        # counted from the subscription, not from when the answer is read: a late event loop is no new agent
+        # Based on the time of the subscription, not of reading the greeting: a delay of the event loop must
+        # not look like a restart of the agent.
         started_at = self.subscribed_at - greeting.uptime_ms / 1000
         if started_at > self.first_greeted_at + RESTART_MARGIN:
-            self._restarted()
+            self._handle_restart()
             self.first_greeted_at = now
         self.first_greeted_at = min(self.first_greeted_at, now)
         self.log.event("agent_up", loaded=greeting.loaded, since_ms=greeting.uptime_ms)
         self.tell(messages.RunnerConnected(greeting.loaded, greeting.uptime_ms / 1000))
-        self.replay_tag = f"link{self.connections}"
+        self.replay_tag = f"link{self.connection_count}"
         self.outgoing.append(wire.encode_command(wire.SampleGauges(self.replay_tag)))
         self._flush()
 
-    def _restarted(self) -> None:
-        """The agent is a new incarnation: its runs are lost, and it counts notices anew."""
+    def _handle_restart(self) -> None:
+        """Handle a new incarnation of the agent: its runs are lost, and its notice numbers start again."""
         self.pending.clear()
         self.last_notice = 0
         self.log.event("agent_restarted")
         self.tell(messages.RunsLost(self))
 
-    def _sampled(self, sampled: wire.GaugesSampled) -> None:
+    def _handle_sample(self, sampled: wire.GaugesSampled) -> None:
         if sampled.tag == self.replay_tag:
-            self._replayed()
+            self._finish_replay()
         else:
             self.tell(messages.GaugesSampled(sampled.tag, sampled.values))
 
-    def _replayed(self) -> None:
-        """All that the agent replays was read: resend the commands whose fate is still uncertain."""
+    def _finish_replay(self) -> None:
+        """Handle the end of the replay: resend the commands whose effect is still unknown."""
         self.replay_tag = ""
         self.up = True
         self.resumptions += 1
         for pending in self.pending.values():
-            pending.connections += 1
+            pending.times_sent += 1
             self.outgoing.append(wire.encode_command(pending.command))
         self._flush()
 
-    def _malformed(self, notice: wire.MalformedLine) -> None:
-        """The agent could not read a command."""
-        self.pending.pop(notice.run_id, None)  # resent, a launch could run what is over
+    def _handle_malformed_line(self, notice: wire.MalformedLine) -> None:
+        """Handle a command that the agent could not parse."""
+        self.pending.pop(notice.run_id, None)  # resending a launch could repeat a run that has ended
         self.log.event("agent_malformed", line=notice.line)
         if notice.run_id:
             self.tell(messages.RunCompleted(notice.run_id, Outcome.ERROR, 0.0))
 
-    def _rejected(self, rejection: wire.CommandRejected) -> None:
-        """The agent rejected a command.
+    def _handle_rejection(self, rejection: wire.CommandRejected) -> None:
+        """Handle a command that the agent rejected.
 
-        A launch that is rejected never ran: one that ran would be known. Any other command that is rejected
-        when it is resent was carried out the first time, and its notices are still to come.
+        A rejected launch never ran, since the agent would otherwise know the run. Any other command that is
+        rejected when it is resent was carried out the first time, and its notices will follow.
         """
         pending = self.pending.pop(rejection.run_id, None)
-        if pending and (pending.connections < 2 or isinstance(pending.command, wire.LaunchRun)):
+        if pending and (pending.times_sent < 2 or isinstance(pending.command, wire.LaunchRun)):
             self.log.event("agent_refused", command=rejection.command, call=rejection.run_id)
             never_ran = rejection.command == "launch"
             outcome = Outcome.ABANDONED if never_ran else Outcome.ERROR
--- a/shelfhaven/backends/failure_boundary.py
+++ b/shelfhaven/backends/failure_boundary.py
@@ -1,4 +1,4 @@
-"""The one place where tasks of backends meet an unexpected error."""
+"""Handling of unexpected errors in the tasks of backend connections."""
 
 from __future__ import annotations
 
@@ -11,10 +11,16 @@
 
 
 class FailureBoundary:
-    """Context manager at the outermost frame of a connection's task.
+    """Context manager for the outermost frame of a connection's task.
 
-    An error that nobody expected is logged and ends what runs inside, as a broken connection would: it must
-    not end the actor, whose other connections serve on. Cancellation and exit pass through.
+    It logs and suppresses an unexpected exception, so that the exception ends the enclosed work as a broken
+    connection would, but does not end the actor, whose other connections continue. Cancellation and
+    interpreter exit pass through.
+
+    Attributes:
+        log: log to write to.
+        event: name of the log event.
+        fields: additional fields of the log event.
     """
 
     def __init__(self, log: Log, event: str, **fields: str) -> None:
@@ -23,7 +29,7 @@
         self.fields = fields
 
     def __enter__(self) -> None:
-        """Nothing is acquired."""
+        """Enter the context; nothing is acquired."""
 
     def __exit__(
         self,
--- a/shelfhaven/backends/ledger.py
+++ b/shelfhaven/backends/ledger.py
@@ -1,9 +1,9 @@
-"""Actor of the ledger: connections to it, and the downstream calls on them.
+"""Actor for the ledger: its connections, and the downstream calls made on them.
 
-A call is never placed twice, and it is never said without proof that a call did not run. Bytes are not taken
-for the reply to a call if another call may have caused them: after a reply a connection is idle for a while,
-and it is reused only if nothing came meanwhile. Once a connection has shown that it cannot be trusted so far,
-each call gets a connection of its own for some time.
+A call is never sent twice, and a call is reported as not run only if that is certain. Data is not accepted as
+the reply to a call if another call may have caused it: a connection stays idle for a while after each reply,
+and is reused only if no data arrived meanwhile. After a connection received unexpected data or broke while
+idle, no connection is reused for some time.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from shelfhaven.server.mailbox import Mailbox, after_reading, peek
 
 READ_SIZE = 64 * 1024  # bytes
-MIN_IDLE_TIME = 0.05  # seconds in which what else belongs to a reply would have come
-MAX_IDLE_TIME = 4.0  # seconds until an idle connection is closed; the ledger closes it after 10
-DISTRUST_TIME = 10.0  # seconds without reuse after a connection that brought too much, or broke while idle
+MIN_IDLE_TIME = 0.05  # seconds, by which any excess data of a reply would have arrived
+MAX_IDLE_TIME = 4.0  # seconds, after which a connection is not reused; the ledger closes it after 10
+NO_REUSE_TIME = 10.0  # seconds without reuse after a connection received unexpected data or broke while idle
 
 LedgerMessage: TypeAlias = messages.PlaceCall | messages.CancelCall
 
 
 def outcome_of(reply: http.Response) -> Outcome:
-    """What a reply says of its call."""
+    """Return the outcome of a call, given the reply to it."""
     match reply.status, reply.untouched:
         case 200, _:
             return Outcome.OK
@@ -51,10 +51,16 @@
 
 @dataclass(slots=True, eq=False)
 class LedgerConnection:
-    """One connection and its call, which is None while the connection is idle or the call was given up.
+    """A connection and the call on it.
 
-    `sent`: whether the call was sent; `timer`: its time-out; `idle_since`: when the connection was last idle,
-    0 if it never was; `closed_here`: whether this side closed it.
+    Attributes:
+        stream: the connection.
+        address: address of the ledger that it connects to.
+        call: call on the connection; None if the connection is idle or the call was abandoned.
+        sent: whether the call was sent.
+        timer: timeout of the call.
+        idle_since: time at which the connection last became idle; 0 if it never did.
+        closed_locally: whether this side closed the connection.
     """
 
     stream: IOStream
@@ -63,30 +69,31 @@
     sent: bool = False
     timer: asyncio.TimerHandle | None = None
     idle_since: float = 0.0
-    closed_here: bool = False
+    closed_locally: bool = False
 
     def close(self) -> None:
-        """Close it; its call is over."""
-        self.closed_here = True
+        """Close the connection, which ends its call."""
+        self.closed_locally = True
         self.stream.close()
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedCall:
-    """A call that waits for a connection until `expires_at`."""
+    """A call that waits for a connection, until `expires_at` at the latest."""
 
     call: messages.PlaceCall
     expires_at: float
 
 
 class Ledger:
-    """Actor of the ledger.
+    """Actor for the ledger.
 
     Attributes:
-        by_request: connections with a call, by the reference of its request.
+        address: address of the ledger; None if there is no ledger.
+        by_request: connections that have a call, by the ID of its request.
         connections: all open connections.
-        idle: connections that may be reused, longest idle first.
-        reusable_from: time from which on connections may be reused.
+        idle: idle connections that may be reused, longest idle first.
+        reusable_from: time before which no connection is reused.
         queue: calls that wait for a connection, oldest first.
     """
 
@@ -101,7 +108,7 @@
         self.descriptors = descriptors
         self.tell = tell
         self.log = log
-        descriptors.on_released.append(self._assign)
+        descriptors.on_released.append(self._dispatch_queue)
         descriptors.on_inbound_waiting.append(self._close_idle)
         self.mailbox: Mailbox[LedgerMessage] = Mailbox(self._take, log)
         self.by_request: dict[int, LedgerConnection] = {}
@@ -112,11 +119,11 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def put(self, message: LedgerMessage) -> None:
-        """Place a call or give one up."""
+        """Queue a message that places or cancels a call."""
         self.mailbox.put(message)
 
     def move(self, address: Address | None) -> None:
-        """Place calls at another address from now on; those that were sent are still answered at the old."""
+        """Send calls to another address from now on; calls already sent complete at the old address."""
         if address == self.address:
             return
         self.address = address
@@ -124,13 +131,13 @@
         for connection in list(self.connections):
             call = connection.call
             if call and not connection.sent:
-                self._give_up(connection)
+                self._abandon(connection)
                 self._take(call)
 
     def end(self) -> None:
         """Close all connections."""
         for connection in list(self.connections):
-            self._give_up(connection)
+            self._abandon(connection)
 
     # Calls
 
@@ -142,41 +149,41 @@
         else:
             self._cancel(message.request_id)
             self.queue.append(QueuedCall(message, time.monotonic() + message.timeout))
-            self._assign()
+            self._dispatch_queue()
             if self.queue and self.queue[-1].call is message:
                 asyncio.get_running_loop().call_later(message.timeout, self._expire_queued, message)
 
-    def _assign(self) -> None:
-        """Give queued calls a connection: one that is idle, or a new one if there is a descriptor."""
+    def _dispatch_queue(self) -> None:
+        """Assign queued calls to idle connections, or to new ones if file descriptors are available."""
         while self.queue and self.address:
             now = time.monotonic()
             if connection := self._reusable_connection(now):
-                self._begin(connection, now)
+                self._assign_next_call(connection, now)
                 self._send(connection)
                 continue
             if not self.descriptors.acquire_outbound():
-                if self.idle:  # its descriptor comes back with its end
+                if self.idle:  # closing it releases its descriptor, which calls this method again
                     self.idle.popleft().close()
                 return
             try:
                 stream = IOStream(socket.socket(socket.AF_INET, socket.SOCK_STREAM))
             except OSError as error:
                 self.log.event("ledger_no_socket", error=str(error))
-                self.descriptors.outbound -= 1  # not released: that would call this method again
+                self.descriptors.outbound -= 1  # `release_outbound` would call this method again
                 return
-            self._open(stream, self.address, now)
+            self._open_connection(stream, self.address, now)
 
-    def _open(self, stream: IOStream, address: Address, now: float) -> None:
-        """Connect for the call that waits longest."""
+    def _open_connection(self, stream: IOStream, address: Address, now: float) -> None:
+        """Open a connection for the oldest queued call."""
         connection = LedgerConnection(stream, address, None)
         self.connections.add(connection)
-        self._begin(connection, now)
+        self._assign_next_call(connection, now)
         task = asyncio.get_running_loop().create_task(self._serve(connection))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _begin(self, connection: LedgerConnection, now: float) -> None:
-        """Give a connection the call that waits longest."""
+    def _assign_next_call(self, connection: LedgerConnection, now: float) -> None:
+        """Assign the oldest queued call to a connection."""
         queued = self.queue.popleft()
         call = replace(queued.call, timeout=max(0.0, queued.expires_at - now))
         connection.call = call
@@ -186,9 +193,9 @@
         connection.timer = loop.call_later(call.timeout, after_reading, self._time_out, connection, call)
 
     def _cancel(self, request_id: int) -> None:
-        """Give up a request's call, wherever it is."""
+        """Cancel the call of a request, whether it is queued or on a connection."""
         if connection := self.by_request.get(request_id):
-            self._give_up(connection)
+            self._abandon(connection)
         self.queue = deque(queued for queued in self.queue if queued.call.request_id != request_id)
 
     def _time_out(self, connection: LedgerConnection, call: messages.PlaceCall) -> None:
@@ -205,7 +212,7 @@
     # Reuse of connections
 
     def _reusable_connection(self, now: float) -> LedgerConnection | None:
-        """A connection that was idle for long enough and on which nothing came meanwhile."""
+        """Return a connection that has been idle for long enough and has received no data meanwhile."""
         while self.idle and now - self.idle[0].idle_since > MIN_IDLE_TIME:
             connection = self.idle.popleft()
             if connection.stream.closed():
@@ -213,25 +220,28 @@
             if now - connection.idle_since < MAX_IDLE_TIME:
                 if peek(connection.stream.socket) is None:
                     return connection
-                self._distrust()
+                self._disable_reuse()
             connection.close()
         return None
 
     def _return_to_idle(self, connection: LedgerConnection, is_clean: bool) -> None:
-        """Keep a connection after its reply if it brought nothing else and may be reused."""
+        """Keep a connection for reuse after a reply, if it may be reused.
+
+        `is_clean` is whether it received nothing but the reply.
+        """
         now = time.monotonic()
         if not is_clean:
-            self._distrust()
-        is_needed = self.descriptors.inbound_waiting or self.queue  # its descriptor serves another better
-        if is_needed or connection.address != self.address or now < self.reusable_from:
+            self._disable_reuse()
+        descriptor_needed = self.descriptors.inbound_waiting or self.queue  # for another connection
+        if descriptor_needed or connection.address != self.address or now < self.reusable_from:
             connection.close()
             return
         connection.idle_since = now
         self.idle.append(connection)
 
-    def _distrust(self) -> None:
-        """Reuse no connection for some time."""
-        self.reusable_from = time.monotonic() + DISTRUST_TIME
+    def _disable_reuse(self) -> None:
+        """Close the idle connections, and reuse none for some time."""
+        self.reusable_from = time.monotonic() + NO_REUSE_TIME
         self._close_idle()
 
     def _close_idle(self) -> None:
@@ -241,7 +251,7 @@
     # One connection
 
     async def _serve(self, connection: LedgerConnection) -> None:
-        """Serve one connection to its end; its call ends with it, and its descriptor comes back."""
+        """Serve a connection until it ends; then fail its call, if any, and release its descriptor."""
         try:
             with FailureBoundary(self.log, "ledger_failed"):
                 await self._exchange(connection)
@@ -251,25 +261,25 @@
             self.descriptors.release_outbound()
 
     async def _exchange(self, connection: LedgerConnection) -> None:
-        """Connect, send the call, and read replies until the connection ends."""
+        """Connect, send the call, and read replies until the connection closes."""
         try:
             await connection.stream.connect((connection.address.host, connection.address.port))
             connection.stream.set_nodelay(True)
             self._send(connection)
             await self._read_replies(connection)
         except (OSError, StreamClosedError):
-            if connection.idle_since and not connection.closed_here:  # it was kept, and broke
-                self._distrust()
+            if connection.idle_since and not connection.closed_locally:  # it was reusable, but broke
+                self._disable_reuse()
         except http.StreamError as error:
             self.log.event("ledger_stream", error=str(error))
-            self._distrust()
+            self._disable_reuse()
 
     async def _read_replies(self, connection: LedgerConnection) -> None:
         parser = http.ResponseParser()
         while not connection.stream.closed():
             data = await connection.stream.read_bytes(READ_SIZE, partial=True)
             if connection.call is None:
-                raise http.StreamError("bytes that no call asked for")
+                raise http.StreamError("received data without a pending call")
             if reply := parser.feed(data):
                 self._complete(connection, outcome_of(reply), reply.body)
                 self._return_to_idle(connection, is_clean=not parser.unread)
@@ -281,8 +291,8 @@
             request = http.encode_ledger_call(str(connection.address), call.attempt_id, timeout_ms, call.body)
             connection.stream.write(request)
 
-    def _release(self, connection: LedgerConnection) -> messages.PlaceCall | None:
-        """Take the call off its connection; nothing more is reported of it."""
+    def _detach_call(self, connection: LedgerConnection) -> messages.PlaceCall | None:
+        """Detach the call from its connection, so that the connection no longer affects its outcome."""
         call = connection.call
         connection.call = None
         if connection.timer:
@@ -293,15 +303,15 @@
         return call
 
     def _complete(self, connection: LedgerConnection, outcome: Outcome, body: bytes = b"") -> None:
-        if call := self._release(connection):
+        if call := self._detach_call(connection):
             self.tell(messages.CallCompleted(call.request_id, outcome, body))
 
     def _fail(self, connection: LedgerConnection, outcome: Outcome) -> None:
-        """The call ends without a reply, and its connection with it: what was never sent never ran."""
+        """End a call without a reply and close its connection; a call that was not sent did not run."""
         self._complete(connection, outcome if connection.sent else Outcome.CONNECT_FAILED)
         connection.close()
 
-    def _give_up(self, connection: LedgerConnection) -> None:
-        """Close a connection without reporting its call: the close is how the ledger learns of that."""
-        self._release(connection)
+    def _abandon(self, connection: LedgerConnection) -> None:
+        """Close a connection without reporting its call; the close tells the ledger to cancel the call."""
+        self._detach_call(connection)
         connection.close()
--- a/shelfhaven/backends/proxy.py
+++ b/shelfhaven/backends/proxy.py
@@ -1,8 +1,9 @@
-"""Runner of the requests that proxies run themselves.
+"""Runner of the requests that proxies execute themselves after a consultation.
 
-A launch of the core is passed to the consultation that asked, and the proxy runs the request. The runner
-counts what is in flight and estimates from the results how much the service behind the proxies can take. What
-a message of a proxy means is decided in `routing/processor_policy.py`, the capacity in `routing/pool.py`.
+The runner passes each launch by the core to the consultation of the request, which lets the proxy run it. It
+counts the runs in flight, and estimates the capacity of the service behind the proxies from their outcomes.
+`routing/processor_policy.py` interprets the messages of the proxies, and `routing/pool.py` estimates the
+capacity.
 """
 
 from __future__ import annotations
@@ -24,26 +25,31 @@
 
 RunnerMessage: TypeAlias = messages.RunnerCommand | messages.SampleGauges
 
-SERVICE = "behind the proxies"  # the one backend, as far as is known here
-MAX_LIMIT_FACTOR = 4.0  # times the stated concurrency, up to which the limit of the service may grow
+SERVICE = "behind the proxies"  # the single backend of the pool, which stands for whatever the proxies use
+MAX_LIMIT_FACTOR = 4.0  # maximum concurrency limit, as a multiple of the configured concurrency
 
 
 class RunningConsultation(Protocol):
-    """A consultation, as the runner knows it."""
+    """The interface of a consultation that the runner uses."""
 
     def launched(self, launch: messages.LaunchRun) -> None:
-        """The core lets it run."""
+        """Handle the launch of the request by the core."""
 
 
 class ProxyRunner:
-    """Actor of all that proxies run; consultations register themselves and report their ends."""
+    """Actor for the runs of all proxies.
+
+    Attributes:
+        consultations: open consultations by attempt ID; they register and remove themselves.
+        attempt_by_run: number of the attempt in flight, by run ID.
+    """
 
     def __init__(self, concurrency: int, tell: Callable[[messages.RunnerEvent], None], log: Log) -> None:
         self.tell = tell
         self.log = log
-        self.mailbox: Mailbox[RunnerMessage] = Mailbox(self._take, log)
+        self.mailbox: Mailbox[RunnerMessage] = Mailbox(self._handle_message, log)
         self.consultations: dict[str, RunningConsultation] = {}
-        self.attempts: dict[str, int] = {}
+        self.attempt_by_run: dict[str, int] = {}
         self.attempt_numbers = itertools.count(1)
         settings = PoolSettings(
             initial_limit=concurrency,
@@ -54,25 +60,25 @@
 
     @property
     def up(self) -> bool:
-        """Whether it samples gauges: never, as its capacity is part of the gauges of the pools."""
+        """Whether the runner samples gauges: never, because those of the pools include its capacity."""
         return False
 
     def put(self, message: RunnerMessage) -> None:
-        """Take a command."""
+        """Queue a command."""
         self.mailbox.put(message)
 
     def load(self) -> RunnerLoad:
-        """Runs in flight, and how many the service seems to take."""
+        """Return the runs in flight, and the estimated capacity of the service."""
         return RunnerLoad(self.pool.in_flight(), self.pool.capacity(time.monotonic()))
 
     def run_ended(self, run_id: str, outcome: Outcome, elapsed: float, result: bytes | None) -> None:
-        """A run is over, after so many seconds."""
-        attempt = self.attempts.pop(run_id, None)
+        """Report to the core that a run ended, `elapsed` seconds after the proxy was told to continue."""
+        attempt = self.attempt_by_run.pop(run_id, None)
         if attempt is not None:
             self.pool.end_attempt(time.monotonic(), attempt, SIGNAL_BY_OUTCOME[outcome])
         self.tell(messages.RunCompleted(run_id, outcome, elapsed, result))
 
-    def _take(self, message: RunnerMessage) -> None:
+    def _handle_message(self, message: RunnerMessage) -> None:
         match message:
             case messages.LaunchRun():
                 self._launch(message)
@@ -83,10 +89,10 @@
 
     def _launch(self, launch: messages.LaunchRun) -> None:
         consultation = self.consultations.get(launch.attempt_id)
-        if consultation is None:  # its stream is gone, or it came by another frontend
+        if consultation is None:  # the stream is closed, or the request came from another frontend
             self.tell(messages.RunCompleted(launch.attempt_id, Outcome.CONNECT_FAILED, 0.0))
             return
         attempt = next(self.attempt_numbers)
-        self.attempts[launch.attempt_id] = attempt
+        self.attempt_by_run[launch.attempt_id] = attempt
         self.pool.begin_attempt(time.monotonic(), self.pool.backends[SERVICE], attempt, launch.class_name)
         consultation.launched(launch)
--- a/shelfhaven/backends/runner_load.py
+++ b/shelfhaven/backends/runner_load.py
@@ -1,4 +1,4 @@
-"""What a runner has in flight, and the gauges of all runners that the core samples."""
+"""The load of a runner, and the gauges that the core samples for all runners."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnerLoad:
-    """Runs in flight at a runner, and how many it can have in flight."""
+    """The number of runs that a runner has in flight, and how many it can have in flight."""
 
     in_flight: int
     capacity: float
@@ -16,16 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadGauges:
-    """Gauges of one runner and of those beside it on the same core, whose concurrency limit covers them all.
+    """Gauges of all runners of one core, whose concurrency limit covers them together.
 
-    `names`: the gauges that the core asks for, in its order; `other_loads`: of the runners beside it.
+    Attributes:
+        names: names of the gauges, in the order in which the core expects the values.
+        other_loads: functions that return the loads of the runners other than the sampled one.
     """
 
     names: tuple[str, ...]
     other_loads: Sequence[Callable[[], RunnerLoad]] = ()
 
     def sample(self, load: RunnerLoad) -> tuple[float, ...]:
-        """Values of the gauges by their names, 0 for a name that is unknown here."""
+        """Return the values of the gauges, in the order of their names; 0 for an unknown name.
+
+        `load` is the load of the sampled runner.
+        """
         in_flight = load.in_flight
         capacity = load.capacity
         for other_load in self.other_loads:
--- a/shelfhaven/backends/uwsgi_pool.py
+++ b/shelfhaven/backends/uwsgi_pool.py
@@ -1,8 +1,8 @@
-"""One pool of uwsgi backends: the connections to them, and the actions of the pool's router.
+"""A pool of uwsgi backends: makes the connections to them, and executes the actions of the pool's router.
 
-Which backend gets a run, how long an attempt may take and whether it is retried are decided in
-`routing/run_router.py`, what an answer means in `routing/attempts.py`. Each attempt has a connection of its
-own, and what comes after an answer on it is ignored.
+`routing/run_router.py` chooses the backend and the timeout of each attempt and decides on retries, and
+`routing/attempts.py` classifies the responses. Each attempt uses a connection of its own, and data after the
+response is ignored.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from shelfhaven.server.mailbox import after_reading
 
 READ_SIZE = 64 * 1024  # bytes
-MIN_TIMER = 0.001  # seconds; a timer that is due at once would spin
+MIN_TIMER = 0.001  # seconds; a shorter delay could make the timer fire in a busy loop
 DEFAULT_METHOD = "POST"
 DEFAULT_CONTENT_TYPE = "application/octet-stream"
 
@@ -47,22 +47,28 @@
 
 
 class PoolLoad(TypedDict):
-    """What the node's line on its load says of one pool."""
+    """The load of one pool, as written to the log."""
 
-    spill: NotRequired[float]  # fraction of the runs that goes to other zones, where the pool knows zones
-    by_zone: NotRequired[dict[str, int]]  # attempts since the start
+    spill: NotRequired[float]  # fraction of the runs sent to other zones, if routing is zone-aware
+    by_zone: NotRequired[dict[str, int]]  # number of attempts since the start, by zone
     in_hand: int  # runs in flight
-    room: float  # runs that it can have in flight
-    waiting: int  # runs that no attempt is made for at the moment
+    room: float  # number of runs that the pool can have in flight
+    waiting: int  # runs that wait for capacity
     further: int  # retries since the start
-    servers: dict[str, int]  # backends by state
+    servers: dict[str, int]  # number of backends, by state
 
 
 @dataclass(slots=True, eq=False)
 class AttemptConnection:
     """The connection of an attempt in flight.
 
-    `was_connected`: whether the backend was reached; `result` and `body`: what is known of its end so far.
+    Attributes:
+        number: number of the attempt.
+        stream: the connection.
+        was_connected: whether the connection was established.
+        timer: timeout of the attempt.
+        result: result of the attempt if the connection ended now.
+        body: body of the response, once it has been received.
     """
 
     number: int
@@ -72,22 +78,24 @@
     result: AttemptResult = AttemptResult.UNREACHABLE
     body: bytes = b""
 
-    def take_reply(self, reply: http.Response) -> None:
-        """The backend answered."""
-        self.result = classify_response(reply.status, reply.not_run)
-        self.body = reply.body
+    def record_response(self, response: http.Response) -> None:
+        """Record the response of the backend as the result."""
+        self.result = classify_response(response.status, response.not_run)
+        self.body = response.body
 
 
 class UwsgiPool:
-    """One pool.
+    """A pool of uwsgi backends.
 
     Attributes:
-        config: its configuration in force.
-        addresses: of all backends that it ever had, by name.
-        router: decides on its runs.
-        launches: of the runs that have not ended.
-        results: bodies of runs that are served, until their end is reported.
-        attempts: connections of the attempts in flight.
+        config: current configuration of the pool.
+        addresses: addresses of all current and former backends, by name.
+        router: router of the pool's runs.
+        launches: launch messages of the runs that have not finished, by run ID.
+        results: response bodies of served runs whose end has not been reported yet, by run ID.
+        attempts: connections of the attempts in flight, by attempt number.
+        tasks: tasks of the attempts; the event loop itself keeps only weak references to tasks.
+        timer: timer for the router's next change of state.
     """
 
     def __init__(
@@ -109,7 +117,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def launch(self, launch: messages.LaunchRun) -> None:
-        """Run a request at one of the backends; a second launch of the same run changes nothing."""
+        """Run a request at one of the backends; launching the same run again has no effect."""
         if launch.attempt_id in self.launches:
             return
         self.launches[launch.attempt_id] = launch
@@ -121,28 +129,28 @@
             idempotent=launch.idempotent,
             has_idempotency_key=bool(launch.idempotency_key),
         )
-        self._carry_out(self.router.launch(now, run))
+        self._execute(self.router.launch(now, run))
 
     def update(self, config: PoolConfig) -> None:
-        """Take new settings and a new list of backends; attempts in flight end where they are."""
+        """Apply new settings and a new list of backends; attempts in flight continue."""
         self.config = config
         self.addresses |= config.servers
         pool = self.router.pool
         pool.zones = config.zones
         if pool.slow_start and config.slow_start:
             pool.slow_start.settings = config.slow_start
-        self._carry_out(self.router.update(time.monotonic(), config.settings, list(config.servers)))
+        self._execute(self.router.update(time.monotonic(), config.settings, list(config.servers)))
 
     def drain(self) -> None:
-        """The pool was removed from the file: its backends get nothing new."""
-        self._carry_out(self.router.update(time.monotonic(), self.config.settings, []))
+        """Send no new runs to the backends, because the pool was removed from the configuration."""
+        self._execute(self.router.update(time.monotonic(), self.config.settings, []))
 
     def flush(self) -> None:
-        """Log the pool's changes, and set its timer; for those who changed it beside its runs."""
-        self._carry_out([])
+        """Log changes of the pool and reset its timer, after changes made other than by its runs."""
+        self._execute([])
 
     def load_now(self) -> PoolLoad:
-        """What the pool has in flight and what it can have, for the log."""
+        """Return the current load of the pool, for the log."""
         pool = self.router.pool
         states = Counter(backend.state.value for backend in pool.backends.values())
         load: PoolLoad = {
@@ -167,14 +175,14 @@
         for attempt in list(self.attempts.values()):
             attempt.stream.close()
 
-    # Actions of the router
+    # Actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._send(action)
+                self._start_attempt(action)
             else:
-                self._finish(action)
+                self._finish_run(action)
         self._log_changes()
         self._set_timer()
 
@@ -193,15 +201,15 @@
             self.timer.cancel()
             self.timer = None
         now = time.monotonic()
-        due = self.router.next_advance(now)
-        if due < math.inf:
+        due_at = self.router.next_advance(now)
+        if due_at < math.inf:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(max(MIN_TIMER, due - now), after_reading, self._advance)
+            self.timer = loop.call_later(max(MIN_TIMER, due_at - now), after_reading, self._advance)
 
     def _advance(self) -> None:
-        self._carry_out(self.router.advance(time.monotonic()))
+        self._execute(self.router.advance(time.monotonic()))
 
-    def _finish(self, finished: RunFinished) -> None:
+    def _finish_run(self, finished: RunFinished) -> None:
         run_id = finished.run_id
         del self.launches[run_id]
         body = self.results.pop(run_id, b"")
@@ -209,12 +217,14 @@
 
     # Attempts
 
-    def _send(self, send: SendAttempt) -> None:
-        """Start an attempt; where it gets no socket its backend counts as unreachable."""
+    def _start_attempt(self, send: SendAttempt) -> None:
+        """Start an attempt; if no socket is available, the attempt ends as unreachable."""
         address = self.addresses[send.backend]
         loop = asyncio.get_running_loop()
         stream = self._new_stream(address)
-        if stream is None:  # reported in a later iteration of the loop, as other ends are
+        if (
+            stream is None
+        ):  # report it in a later iteration of the event loop, like any other end of an attempt
             loop.call_soon(self._end_attempt, send.attempt, AttemptResult.UNREACHABLE)
             return
         attempt = AttemptConnection(send.attempt, stream)
@@ -225,7 +235,7 @@
         task.add_done_callback(self.tasks.discard)
 
     def _new_stream(self, address: SocketAddress) -> IOStream | None:
-        """A socket for an address; None without a descriptor."""
+        """Create a socket for an address; return None if no file descriptor is available."""
         if not self.descriptors.acquire_outbound():
             return None
         family = socket.AF_UNIX if isinstance(address, Path) else socket.AF_INET
@@ -248,7 +258,7 @@
         return wire.encode(variables, launch.body)
 
     def _request_variables(self, launch: messages.LaunchRun) -> dict[str, str]:
-        """The variables that are the same for all attempts of a run, those of its frontend included."""
+        """Return the variables common to all attempts of a run, including those from its frontend."""
         attributes = launch.attributes
         if attributes is None:
             attributes = self._default_attributes(launch.class_name)
@@ -265,7 +275,7 @@
         }
 
     def _default_attributes(self, class_name: str) -> messages.RequestAttributes:
-        """Method and path of a run whose frontend gave none."""
+        """Return the request attributes of a run whose frontend provided none."""
         target = self.config.runs.get(class_name)
         method = target.method if target else DEFAULT_METHOD
         path = target.path if target else f"/{class_name}"
@@ -274,7 +284,7 @@
     async def _serve_attempt(
         self, attempt: AttemptConnection, address: SocketAddress, request: bytes
     ) -> None:
-        """Serve one attempt; its end is reported and its descriptor comes back in any case."""
+        """Make one attempt; always report its end and release its descriptor."""
         try:
             with FailureBoundary(self.log, "pool_failed", pool=self.config.name):
                 await self._exchange(attempt, address, request)
@@ -284,23 +294,23 @@
             self._end_attempt(attempt.number, attempt.result, attempt.body)
 
     async def _exchange(self, attempt: AttemptConnection, address: SocketAddress, request: bytes) -> None:
-        """Connect, send the request and read the one answer."""
+        """Connect, send the request, and read the response."""
         parser = http.ResponseParser(True, self.config.max_result_bytes)
         try:
             await self._connect(attempt, address)
             attempt.stream.write(request)
-            reply = None
-            while reply is None:
-                reply = parser.feed(await attempt.stream.read_bytes(READ_SIZE, partial=True))
-            attempt.take_reply(reply)
+            response = None
+            while response is None:
+                response = parser.feed(await attempt.stream.read_bytes(READ_SIZE, partial=True))
+            attempt.record_response(response)
             if parser.unread:
                 self.log.event("pool_trailing", pool=self.config.name, server=str(address))
         except TimeoutError:
             pass
         except (OSError, StreamClosedError):
             was_closed_cleanly = attempt.was_connected and attempt.stream.error is None
-            if was_closed_cleanly and (reply := parser.close()):
-                attempt.take_reply(reply)
+            if was_closed_cleanly and (response := parser.close()):
+                attempt.record_response(response)
         except http.StreamError as error:
             self.log.event("pool_stream", pool=self.config.name, server=str(address), error=str(error))
 
@@ -311,10 +321,10 @@
         if not isinstance(address, Path):
             attempt.stream.set_nodelay(True)
         attempt.was_connected = True
-        attempt.result = AttemptResult.BROKEN  # until it is answered
+        attempt.result = AttemptResult.BROKEN  # unless a response arrives
 
     def _time_out(self, attempt: AttemptConnection) -> None:
-        """The attempt's time is over; reported first, so that the close that follows says nothing more."""
+        """End an attempt that timed out, before the close of its connection can report another result."""
         if attempt.number in self.attempts:
             result = AttemptResult.TIMEOUT if attempt.was_connected else AttemptResult.UNREACHABLE
             self._end_attempt(attempt.number, result)
@@ -327,4 +337,4 @@
         run = self.router.run_by_attempt.get(number)
         if run and result is AttemptResult.SERVED:
             self.results[run.run_id] = body
-        self._carry_out(self.router.attempt_ended(time.monotonic(), number, result))
+        self._execute(self.router.attempt_ended(time.monotonic(), number, result))
--- a/shelfhaven/backends/uwsgi_runner.py
+++ b/shelfhaven/backends/uwsgi_runner.py
@@ -1,7 +1,7 @@
-"""Runner of the classes that pools of uwsgi backends serve.
+"""Runner of the classes whose requests are executed by pools of uwsgi backends.
 
-Gives each launch of the core to the pool of its class, and answers for all pools: their gauges, their load
-and their part in the locality of the node.
+The runner passes each launch by the core to the pool of its class. It aggregates the gauges and the load of
+all pools, and applies the locality settings of the node to them.
 """
 
 from __future__ import annotations
@@ -27,30 +27,33 @@
 
 
 class KeyReservations(Protocol):
-    """Sees to it that a run with an idempotency key begins once over a whole fleet."""
+    """Ensures that a run with an idempotency key starts only once in the whole fleet."""
 
     def launch(self, launch: messages.LaunchRun, run: Callable[[messages.LaunchRun], None]) -> None:
-        """Have it begun by `run`, or report how it ended without that."""
+        """Reserve the key and pass the launch to `run`, or report how the request ended without a run."""
 
-    def on_run_completed(self, done: messages.RunCompleted) -> None:
-        """A run is over."""
+    def on_run_completed(self, completed: messages.RunCompleted) -> None:
+        """Handle the end of a run."""
 
 
 class LoadByClass(NamedTuple):
-    """The load of the pools, by the names of classes."""
+    """The load of the pools, by class name."""
 
     in_flight: Mapping[str, int]
-    typical_latency: Mapping[str, float]  # seconds that a run takes
+    typical_latency: Mapping[str, float]  # seconds
 
 
 class UwsgiRunner:
-    """Actor of all pools.
+    """Actor for all pools of uwsgi backends.
 
     Attributes:
-        reservations: of the keys of runs; None where each node decides for itself.
-        pools: by name.
-        by_class: the pool that runs a class.
-        draining: pools that were removed from the file before their runs ended.
+        gauges: the gauges that the core samples.
+        publish: function that passes an event to the core.
+        seed: number from which the seeds of the pools' random generators are derived.
+        reservations: fleet-wide reservations of idempotency keys; None if keys are known only to this node.
+        pools: pools by name.
+        by_class: pools by the names of the classes that they run.
+        draining: pools that were removed from the configuration but still have runs.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
         self.log = log
         self.seed = seed
         self.reservations: KeyReservations | None = None
-        self.mailbox: Mailbox[RunnerMessage] = Mailbox(self._take, log)
+        self.mailbox: Mailbox[RunnerMessage] = Mailbox(self._handle_message, log)
         self.pools: dict[str, UwsgiPool] = {}
         self.by_class: dict[str, UwsgiPool] = {}
         self.draining: list[UwsgiPool] = []
@@ -76,25 +79,25 @@
 
     @property
     def up(self) -> bool:
-        """Whether it samples gauges: always."""
+        """Whether the runner samples gauges: always."""
         return True
 
     def start(self) -> None:
-        """Take up work."""
+        """Report to the core that the runner accepts work."""
         self.tell(messages.RunnerConnected(True, 0.0))
 
     def put(self, message: RunnerMessage) -> None:
-        """Take a command."""
+        """Queue a command."""
         self.mailbox.put(message)
 
     def tell(self, event: messages.RunnerEvent) -> None:
-        """Report an event to the core, and ends of runs to the reservations before it."""
+        """Report an event to the core; the end of a run is first reported to the reservations."""
         if self.reservations and isinstance(event, messages.RunCompleted):
             self.reservations.on_run_completed(event)
         self.publish(event)
 
     def update(self, configs: Mapping[str, PoolConfig]) -> None:
-        """Take the pools of a new file: attempts in flight end where they are."""
+        """Apply a new configuration of the pools; attempts in flight continue."""
         for name in [name for name in self.pools if name not in configs]:
             pool = self.pools.pop(name)
             pool.drain()
@@ -117,14 +120,17 @@
 
     # Commands
 
-    def _take(self, message: RunnerMessage) -> None:
+    def _handle_message(self, message: RunnerMessage) -> None:
         match message:
             case messages.LaunchRun():
                 self._launch(message)
             case messages.SampleGauges():
-                values = self.gauges.sample(self._load())
+                values = self.gauges.sample(self._total_load())
                 self.tell(messages.GaugesSampled(message.tag, values))
-            case messages.DeliverCallReply() | messages.ProceedWithoutCall():  # runs here ask for no calls
+            case (
+                messages.DeliverCallReply()
+                | messages.ProceedWithoutCall()
+            ):  # these runs make no downstream calls
                 self.log.event("no_word_for", action=type(message).__name__)
 
     def _launch(self, launch: messages.LaunchRun) -> None:
@@ -139,30 +145,30 @@
     # Load
 
     def load_now(self) -> dict[str, PoolLoad]:
-        """What each pool has in flight, by its name, for the log."""
+        """Return the current load of each pool by name, for the log."""
         return {name: pool.load_now() for name, pool in self.pools.items()}
 
     def local_capacity(self) -> float | None:
-        """Runs that backends of the node's own zone can have in flight; None without a pool."""
+        """Return how many runs backends in the node's zone can have in flight; None if there are no pools."""
         now = time.monotonic()
         capacities = [pool.local_capacity(now) for pool in self._routed_pools()]
         return sum(capacities) if capacities else None
 
     def has_local_backends(self) -> bool:
-        """Whether any backend is in the node's own zone."""
+        """Return whether any backend is in the node's zone."""
         return any(pool.has_local_backends() for pool in self._routed_pools())
 
     def slow_start_progress(self) -> float:
-        """Progress of the slow start that is furthest behind, from 0 to 1."""
+        """Return the lowest progress of any pool's slow start, from 0 to 1; 1 if there is no slow start."""
         slow_starts = (pool.slow_start for pool in self._routed_pools())
         return min((slow_start.progress for slow_start in slow_starts if slow_start), default=1.0)
 
     def local_results(self) -> Counter[tuple[str, bool]]:
-        """Attempts at backends of the node's own zone, since the start: by class and whether they failed."""
+        """Count attempts since the start at backends in the node's zone, by class and whether they failed."""
         return sum((pool.router.local_results for pool in self.pools.values()), Counter())
 
     def load_by_class(self) -> LoadByClass:
-        """Runs in flight and typical latencies."""
+        """Return the runs in flight and the typical latencies, by class name."""
         in_flight = Counter(
             run.class_name for pool in self.pools.values() for run in pool.router.runs.values()
         )
@@ -172,7 +178,7 @@
         }
         return LoadByClass(in_flight, typical_latency)
 
-    def _load(self) -> RunnerLoad:
+    def _total_load(self) -> RunnerLoad:
         now = time.monotonic()
         capacity = sum(pool.router.capacity(now) for pool in self.pools.values())
         return RunnerLoad(sum(pool.in_flight() for pool in self._routed_pools()), capacity)
@@ -189,7 +195,14 @@
         regions: Mapping[str, str],
         diversion: TrafficDiversion | None,
     ) -> None:
-        """Prefer the node's own zone in every pool from now on, and follow what the fleet decided."""
+        """Make every pool prefer the node's zone, and divert traffic as the failover controller decided.
+
+        Args:
+            zone: the node's zone.
+            settings: locality settings.
+            regions: region of each zone.
+            diversion: current diversion of traffic to other zones, if any.
+        """
         for pool in self._routed_pools():
             if pool.locality is None:
                 pool.locality = LocalityRouter(settings, zone, Random(time.time_ns()))
--- a/tests/backends/test_replies.py
+++ b/tests/backends/test_replies.py
@@ -1,4 +1,4 @@
-"""What replies of the ledger say."""
+"""Tests of the outcomes of ledger replies."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         (404, True, Outcome.ERROR),
     ],
 )
-def test_the_status_of_the_ledgers_reply_is_the_outcome_of_its_call(
+def test_the_status_of_a_reply_determines_the_outcome_of_its_call(
     status: int, untouched: bool, outcome: Outcome
 ) -> None:
     assert outcome_of(Response(status, untouched, b"")) is outcome
