--- a/shelfhaven/backends/agent.py
+++ b/shelfhaven/backends/agent.py
@@ -74,7 +74,7 @@
         pending: commands to which no notice has responded since they were sent, by run ID.
         last_notice: number of the last notice that was read.
         connection_count: number of connections made so far.
-        resumptions: number of connections on which the replay of notices was completed.
+        completed_replays: number of connections on which the replay of notices was completed.
         replay_tag: tag of the sample whose answer marks the end of the replay on a new connection; empty if
             no replay is in progress.
         up: whether commands can be sent: the connection is open, and its replay of notices is complete.
@@ -95,7 +95,7 @@
         self.pending: dict[str, PendingCommand] = {}
         self.last_notice = 0
         self.connection_count = 0
-        self.resumptions = 0
+        self.completed_replays = 0
         self.replay_tag = ""
         self.up = False
         self.unanswered_since: float | None = None
@@ -108,7 +108,7 @@
         """Queue a command."""
         self.mailbox.put(message)
 
-    def move(self, address: Address | None) -> None:
+    def set_address(self, address: Address | None) -> None:
         """Use another address from now on; runs and notice numbers are kept."""
         if address != self.address:
             self.address = address
@@ -158,12 +158,14 @@
         """Keep the connection open until the actor ends; return at once if there is no agent."""
         backoff = MIN_BACKOFF
         while self.address and not self.ended:
-            resumptions_before = self.resumptions
+            replays_before = self.completed_replays
             with FailureBoundary(self.log, "agent_failed"):
                 await self._serve_connection(self.address)
             self._disconnect()
             # A connection that broke before its replay was complete may break again in the same place.
-            backoff = MIN_BACKOFF if self.resumptions > resumptions_before else min(2 * backoff, MAX_BACKOFF)
+            backoff = (
+                MIN_BACKOFF if self.completed_replays > replays_before else min(2 * backoff, MAX_BACKOFF)
+            )
             if not self.ended:
                 await self._back_off(backoff)
 
@@ -221,7 +223,7 @@
     def _handle_notice(self, notice: wire.Notice) -> None:
         match notice:
             case wire.AgentGreeted():
-                self._greeted(notice)
+                self._handle_greeting(notice)
             case wire.GaugesSampled():
                 self._handle_sample(notice)
             case wire.RunOutcome() | wire.CallRequested() | wire.Remark():
@@ -253,7 +255,7 @@
             messages.RunCompleted(ended.run_id, outcome or Outcome.ERROR, ended.duration_ms / 1000, body)
         )
 
-    def _greeted(self, greeting: wire.AgentGreeted) -> None:
+    def _handle_greeting(self, greeting: wire.AgentGreeted) -> None:
         """Handle the greeting: send a sample, whose answer follows all notices that the agent replays."""
         now = time.monotonic()
         # Based on the time of the subscription, not of reading the greeting: a delay of the event loop must
@@ -286,7 +288,7 @@
         """Handle the end of the replay: resend the commands whose effect is still unknown."""
         self.replay_tag = ""
         self.up = True
-        self.resumptions += 1
+        self.completed_replays += 1
         for pending in self.pending.values():
             pending.times_sent += 1
             self.outgoing.append(wire.encode_command(pending.command))
--- a/shelfhaven/backends/ledger.py
+++ b/shelfhaven/backends/ledger.py
@@ -90,7 +90,7 @@
 
     Attributes:
         address: address of the ledger; None if there is no ledger.
-        by_request: connections that have a call, by the ID of its request.
+        connection_by_request: connections that have a call, by the ID of its request.
         connections: all open connections.
         idle: idle connections that may be reused, longest idle first.
         reusable_from: time before which no connection is reused.
@@ -110,8 +110,8 @@
         self.log = log
         descriptors.on_released.append(self._dispatch_queue)
         descriptors.on_inbound_waiting.append(self._close_idle)
-        self.mailbox: Mailbox[LedgerMessage] = Mailbox(self._take, log)
-        self.by_request: dict[int, LedgerConnection] = {}
+        self.mailbox: Mailbox[LedgerMessage] = Mailbox(self._handle_message, log)
+        self.connection_by_request: dict[int, LedgerConnection] = {}
         self.connections: set[LedgerConnection] = set()
         self.idle: deque[LedgerConnection] = deque()
         self.reusable_from = 0.0
@@ -122,7 +122,7 @@
         """Queue a message that places or cancels a call."""
         self.mailbox.put(message)
 
-    def move(self, address: Address | None) -> None:
+    def set_address(self, address: Address | None) -> None:
         """Send calls to another address from now on; calls already sent complete at the old address."""
         if address == self.address:
             return
@@ -132,7 +132,7 @@
             call = connection.call
             if call and not connection.sent:
                 self._abandon(connection)
-                self._take(call)
+                self._handle_message(call)
 
     def end(self) -> None:
         """Close all connections."""
@@ -141,7 +141,7 @@
 
     # Calls
 
-    def _take(self, message: LedgerMessage) -> None:
+    def _handle_message(self, message: LedgerMessage) -> None:
         if isinstance(message, messages.CancelCall):
             self._cancel(message.request_id)
         elif self.address is None:
@@ -188,13 +188,13 @@
         call = replace(queued.call, timeout=max(0.0, queued.expires_at - now))
         connection.call = call
         connection.sent = False
-        self.by_request[call.request_id] = connection
+        self.connection_by_request[call.request_id] = connection
         loop = asyncio.get_running_loop()
         connection.timer = loop.call_later(call.timeout, after_reading, self._time_out, connection, call)
 
     def _cancel(self, request_id: int) -> None:
         """Cancel the call of a request, whether it is queued or on a connection."""
-        if connection := self.by_request.get(request_id):
+        if connection := self.connection_by_request.get(request_id):
             self._abandon(connection)
         self.queue = deque(queued for queued in self.queue if queued.call.request_id != request_id)
 
@@ -299,7 +299,7 @@
             connection.timer.cancel()
             connection.timer = None
         if call:
-            self.by_request.pop(call.request_id, None)
+            self.connection_by_request.pop(call.request_id, None)
         return call
 
     def _complete(self, connection: LedgerConnection, outcome: Outcome, body: bytes = b"") -> None:
--- a/shelfhaven/backends/uwsgi_runner.py
+++ b/shelfhaven/backends/uwsgi_runner.py
@@ -52,7 +52,7 @@
         seed: number from which the seeds of the pools' random generators are derived.
         reservations: fleet-wide reservations of idempotency keys; None if keys are known only to this node.
         pools: pools by name.
-        by_class: pools by the names of the classes that they run.
+        pool_by_class: pools by the names of the classes that they run.
         draining: pools that were removed from the configuration but still have runs.
     """
 
@@ -73,7 +73,7 @@
         self.reservations: KeyReservations | None = None
         self.mailbox: Mailbox[RunnerMessage] = Mailbox(self._handle_message, log)
         self.pools: dict[str, UwsgiPool] = {}
-        self.by_class: dict[str, UwsgiPool] = {}
+        self.pool_by_class: dict[str, UwsgiPool] = {}
         self.draining: list[UwsgiPool] = []
         self.update(configs)
 
@@ -109,7 +109,7 @@
             else:
                 seed = self.seed + len(self.pools)
                 self.pools[name] = UwsgiPool(config, self.descriptors, self.tell, self.log, seed)
-        self.by_class = {
+        self.pool_by_class = {
             class_name: self.pools[name] for name, config in configs.items() for class_name in config.runs
         }
 
@@ -134,7 +134,7 @@
                 self.log.event("no_word_for", action=type(message).__name__)
 
     def _launch(self, launch: messages.LaunchRun) -> None:
-        pool = self.by_class.get(launch.class_name)
+        pool = self.pool_by_class.get(launch.class_name)
         if pool is None:
             self.tell(messages.RunCompleted(launch.attempt_id, Outcome.CONNECT_FAILED, 0.0))
         elif self.reservations and launch.key_digest:
@@ -174,7 +174,7 @@
         )
         typical_latency = {
             class_name: pool.router.pool.latencies.expected(class_name)
-            for class_name, pool in self.by_class.items()
+            for class_name, pool in self.pool_by_class.items()
         }
         return LoadByClass(in_flight, typical_latency)
 
--- a/shelfhaven/frontends/extproc.py
+++ b/shelfhaven/frontends/extproc.py
@@ -123,7 +123,7 @@
         try:
             self._map(extproc_messages.cgi_variables(headers.headers))
         except MappingError as error:
-            return self.consultation.unmappable(error.status, str(error))
+            return self.consultation.mapping_failed(error.status, str(error))
         return self.consultation.request_headers(headers.end_of_stream)
 
     def _process_response_headers(
--- a/shelfhaven/frontends/subrequest.py
+++ b/shelfhaven/frontends/subrequest.py
@@ -62,7 +62,7 @@
         try:
             self._map(self._variables())
         except MappingError as error:
-            (verdict,) = self.consultation.unmappable(error.status, str(error))
+            (verdict,) = self.consultation.mapping_failed(error.status, str(error))
             assert isinstance(verdict, processor_policy.ImmediateResponse)
             return self._encode_immediate(verdict)
         self.consultation.request_headers(end_of_stream=True)  # a body that is asked about is not sent
--- a/shelfhaven/program/app.py
+++ b/shelfhaven/program/app.py
@@ -128,7 +128,7 @@
         """Return the runner of each class: the pool that the operator's file gives it, else the agent."""
         pools = self.pools
         rest: messages.Runner = self.peers.agent if self.config.agent or not pools else pools
-        return [pools if pools and cls in pools.by_class else rest for cls in self.config.classes]
+        return [pools if pools and cls in pools.pool_by_class else rest for cls in self.config.classes]
 
     def _enter(self, phase: Phase) -> None:
         if phase not in NEXT[self.phase]:
--- a/shelfhaven/program/peers.py
+++ b/shelfhaven/program/peers.py
@@ -32,8 +32,8 @@
 
     def reload(self, _old: Files, new: Files) -> list[str]:
         """Use the peers' changed addresses."""
-        self.agent.move(new.config.agent)
-        self.ledger.move(new.config.ledger)
+        self.agent.set_address(new.config.agent)
+        self.ledger.set_address(new.config.ledger)
         self.members.set_address(new.config.members)
         return []
 
--- a/shelfhaven/routing/processor_policy.py
+++ b/shelfhaven/routing/processor_policy.py
@@ -229,7 +229,7 @@
         self.body.clear()
         return [Submit(body)]
 
-    def unmappable(self, status: int, text: str) -> list[Action]:
+    def mapping_failed(self, status: int, text: str) -> list[Action]:
         """Answer a request that the mapping rejected and that therefore did not run."""
         if self.has_verdict:
             return []
--- a/tests/routing/test_processor_policy.py
+++ b/tests/routing/test_processor_policy.py
@@ -157,8 +157,8 @@
 
 def test_a_request_that_cannot_be_mapped_is_answered_once() -> None:
     consultation = Consultation(SETTINGS, False, False, 0.0)
-    assert consultation.unmappable(404, "no route") == [ImmediateResponse(404, "no route", not_run=True)]
-    assert consultation.unmappable(404, "no route") == []
+    assert consultation.mapping_failed(404, "no route") == [ImmediateResponse(404, "no route", not_run=True)]
+    assert consultation.mapping_failed(404, "no route") == []
 
 
 def test_each_end_of_a_run_has_its_signal_about_the_health_of_the_service() -> None:
--- a/tests/server/test_downstream_calls.py
+++ b/tests/server/test_downstream_calls.py
@@ -135,7 +135,7 @@
 
             with monkeypatch.context() as patch:
                 patch.setattr("shelfhaven.backends.ledger.socket.socket", fail)
-                harness.actor._take(messages.PlaceCall(1, attempt_id_of(1), 60.0, b""))
+                harness.actor._handle_message(messages.PlaceCall(1, attempt_id_of(1), 60.0, b""))
             assert (harness.completed, harness.descriptors.outbound) == ([], 0)
             harness.descriptors.release_inbound()  # a descriptor is free again
             expected = messages.CallCompleted(1, Outcome.OK, b"done")
--- a/tests/server/test_races.py
+++ b/tests/server/test_races.py
@@ -412,7 +412,7 @@
             with full_backlog() as (listening_socket, fillers):
                 agent = server.app.peers.agent
                 connected_stream = agent.stream
-                agent.move(Address(*listening_socket.getsockname()))
+                agent.set_address(Address(*listening_socket.getsockname()))
                 await until(lambda: agent.stream not in (connected_stream, None))
                 hanging_stream = agent.stream
                 await until(lambda: agent.stream not in (hanging_stream, None))  # the next connect
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -35,7 +35,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await until(lambda: new.subscribed)
             assert new.subscribed == [1]
-            await until(lambda: server.app.peers.agent.up and server.app.peers.agent.resumptions == 2)
+            await until(lambda: server.app.peers.agent.up and server.app.peers.agent.completed_replays == 2)
             new.passed(attempt_id)
             assert "result" in await router.answer(1)
             router.request(2)
@@ -97,7 +97,7 @@
             sent = server.app.peers.ledger._send
             server.app.peers.ledger._send = lambda *_: None  # type: ignore
             server.agent.notice(f"request # {attempt_id}", b"call body")
-            await until(lambda: server.app.peers.ledger.by_request)
+            await until(lambda: server.app.peers.ledger.connection_by_request)
             server.app.peers.ledger._send = sent  # type: ignore
             server.rewrite_config(ledger=f"127.0.0.1:{new.port}")
             server.app.reload()
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -250,7 +250,7 @@
             )
             server.agent.cut()
             await until(
-                lambda: server.app.peers.agent.resumptions == 2 and not server.app.peers.agent.pending
+                lambda: server.app.peers.agent.completed_replays == 2 and not server.app.peers.agent.pending
             )
             assert not router.got
             pass_run(attempt_id)
@@ -267,15 +267,15 @@
             router, attempt_id = await server.running_request()
             server.agent.started_at = time.monotonic() - 0.001  # the first greeting came just after its start
             server.app.peers.agent.first_greeted_at = time.monotonic()
-            greeted = server.app.peers.agent._greeted
+            greeted = server.app.peers.agent._handle_greeting
 
             def greet_late(greeting: wire.AgentGreeted) -> None:
                 time.sleep(RESTART_MARGIN + 0.2)  # the machine stalls before the greeting is read
                 greeted(greeting)
 
-            monkeypatch.setattr(server.app.peers.agent, "_greeted", greet_late)
+            monkeypatch.setattr(server.app.peers.agent, "_handle_greeting", greet_late)
             server.agent.cut()
-            await until(lambda: server.app.peers.agent.resumptions == 2)
+            await until(lambda: server.app.peers.agent.completed_replays == 2)
             assert not router.got
             server.agent.passed(attempt_id)
             assert "result" in await router.answer(1)
