--- a/shelfhaven/failover/gossip.py
+++ b/shelfhaven/failover/gossip.py
@@ -1,14 +1,15 @@
-"""Gossip among nodes: load digests are spread, and failed nodes detected, by pings of constant cost.
-
-A pure state machine: told of messages and the time, it returns what is to be sent. The same object runs in a
-node (`actor.py`) and, by the thousand, in virtual time (`lab/failover_simulation.py`).
-
-A node pings one other node per period and asks a few relays to ping it where no answer comes (A. Das,
-I. Gupta and A. Motivala, "SWIM", 2002; `ping_schedule.py`). A node that does not answer them either is
-suspected, and declared failed by several independent votes (A. Dadgar, J. Phillips and J. Currey,
-"Lifeguard", 2018; `suspicion.py`). Each message carries as many digests as fit: the sender's own first, then
-drawn ones, so that every node comes to know a sample of the fleet, or all of a small one (M. Jelasity and
-others, "Gossip-based Peer Sampling", 2007; `digest_table.py`).
+"""Gossip protocol between nodes: disseminates load digests and detects failed nodes.
+
+`Gossip` is a pure state machine: it is given received messages and the time, and returns the messages to
+send. `actor.py` runs one in a node, and `lab/failover_simulation.py` runs thousands in virtual time.
+
+A node pings one other node per period, so its cost does not depend on the fleet's size. If that node does not
+answer, a few relays are asked to ping it (A. Das, I. Gupta and A. Motivala, "SWIM", 2002;
+`ping_schedule.py`). A node that does not answer the relays either is suspected, and is declared failed after
+several independent votes (A. Dadgar, J. Phillips and J. Currey, "Lifeguard", 2018; `suspicion.py`). Each
+message carries as many digests as fit: the sender's own, those that refute suspicions, and a random sample of
+the others. Every node thus learns a sample of the fleet, or all of a small one (M. Jelasity and others,
+"Gossip-based Peer Sampling", 2007; `digest_table.py`).
 """
 
 from __future__ import annotations
@@ -37,17 +38,17 @@
 from shelfhaven.failover.traffic_policy import NO_POLICY, PolicyVersion
 from shelfhaven.failover.wire import digest_size, vote_size
 
-HEADER_BYTES = 160  # of a message beside digests and votes
-VOTES_FRACTION = 0.25  # of a message's bytes for suspicion votes
-REFUTATIONS_FRACTION = 0.5  # of what is left for digests of suspects that answered
-MAX_DRAWN_DIGESTS = 12  # drawn for a message, of which those that fit are sent
-MAX_RELAYED_PINGS = 256  # on behalf of others, not yet answered
-MIN_HEALTH = 0.5  # below which a node takes itself to be cut off, and its view of the zones for worthless
+HEADER_BYTES = 160  # reserved in a message for everything but digests and votes
+VOTES_FRACTION = 0.25  # of a message's bytes: limit for suspicion votes
+REFUTATIONS_FRACTION = 0.5  # of the bytes left after votes and the own digest: limit for refuting digests
+MAX_SAMPLED_DIGESTS = 12  # chosen at random for a message; those that fit are sent
+MAX_RELAYED_PINGS = 256  # unanswered pings on behalf of other nodes
+MIN_HEALTH = 0.5  # a node with less considers itself isolated, and its view of the zones unusable
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message is to be sent to an address."""
+    """Tells the caller to send a message to an address."""
 
     address: str
     message: Message
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewerPolicyObserved:
-    """The node at an address follows a newer traffic policy."""
+    """Tells the caller that the node at an address knows a newer traffic policy than this one."""
 
     address: str
     version: PolicyVersion
@@ -67,19 +68,19 @@
 class RelayedPing(NamedTuple):
     """A ping on behalf of another node."""
 
-    requester: str  # its address
-    ping_id: int  # by which it knows the ping
+    requester_address: str
+    ping_id: int  # as chosen by the requester
 
 
 class Gossip:
-    """The state of one node."""
+    """The gossip state of one node."""
 
     def __init__(self, settings: GossipSettings, own_digest: LoadDigest, now: float, random: Random) -> None:
         self.settings = settings
         self.own_digest = own_digest
         self.random = random
-        self._last_ping_id = random.randrange(1 << 30)  # random, so that incarnations do not share ids
-        self.policy_version = NO_POLICY  # of the newest traffic policy that this node follows
+        self._last_ping_id = random.randrange(1 << 30)  # starts at random, so that incarnations share no ids
+        self.policy_version = NO_POLICY  # of the newest traffic policy that this node knows
         self.counts: Counter[GossipCounter] = Counter()  # for the log
         self.members = MemberList(own_digest.name)
         self.table = DigestTable(settings)
@@ -90,21 +91,24 @@
         self._cached_size = 0
 
     def reconfigure(self, settings: GossipSettings) -> None:
-        """Go on with other settings."""
+        """Apply changed settings."""
         self.settings = settings
         self.table.settings = settings
         self.suspicions.settings = settings
         self.pings.settings = settings
 
-    # What the rest of the node calls
+    # Interface to the rest of the node
 
     @property
     def health(self) -> float:
-        """How much this node's view of others counts, from 0 to 1: one that reaches no zone is unhealthy."""
+        """How reliable this node's view of other nodes is, from 0 to 1.
+
+        A node that reaches no zone is unhealthy.
+        """
         return self.own_digest.health * max(self.pings.reachability.values(), default=1.0)
 
     def update_own_digest(self, measured: LoadDigest) -> None:
-        """Tell a new measurement of this node from now on."""
+        """Replace this node's digest with a new measurement."""
         own = self.own_digest
         self.own_digest = replace(
             measured,
@@ -115,34 +119,36 @@
         )
 
     def update_members(self, locations: Mapping[str, MemberLocation]) -> None:
-        """Take over a new endpoint list."""
+        """Apply a new endpoint list."""
         self.members.update(locations)
         self.pings.forget_unlisted_zones()
 
     def zone_summaries(self, now: float) -> dict[str, ZoneSummary] | None:
-        """Zones as this node sees them; None while it takes itself to be unhealthy."""
+        """Summarize the zones as this node sees them; None while its health is too low."""
         if self.health < MIN_HEALTH:
             return None
         own_zone = self.own_digest.zone
-        listed = {zone: len(names) for zone, names in self.members.by_zone.items()}
-        listed[own_zone] = listed.get(own_zone, 0) + 1
-        failed = Counter(self.members.zone_of(name) for name in self.failed_peers() if name in self.members)
-        return summarize_zones(self.digests(now), listed, failed)
+        listed_counts = {zone: len(names) for zone, names in self.members.by_zone.items()}
+        listed_counts[own_zone] = listed_counts.get(own_zone, 0) + 1
+        failed_counts = Counter(
+            self.members.zone_of(name) for name in self.failed_peers() if name in self.members
+        )
+        return summarize_zones(self.digests(now), listed_counts, failed_counts)
 
     def digests(self, now: float) -> list[LoadDigest]:
-        """Fresh digests of nodes that have not failed, this node's own first."""
+        """Fresh digests of the nodes that were not declared failed, starting with this node's own."""
         return [self.own_digest, *(peer.digest for peer in self.table.fresh_peers(now) if not peer.failed)]
 
     def failed_peers(self) -> list[str]:
-        """Names of the nodes that are taken to have failed."""
-        return self.table.failed()
+        """Names of the peers that were declared failed."""
+        return self.table.failed_names()
 
     def suspected_peers(self) -> list[str]:
-        """Names of the nodes that somebody suspects."""
-        return self.table.suspected()
+        """Names of the peers that at least one node suspects and that have not been declared failed."""
+        return self.table.suspected_names()
 
     def load_now(self, now: float) -> GossipLoad:
-        """Figures for the log; the counters start anew."""
+        """Return the figures for the log, and reset the counters."""
         load: GossipLoad = {
             "known": len(self.table.fresh_peers(now)),
             "gone": len(self.failed_peers()),
@@ -155,10 +161,10 @@
         self.counts.clear()
         return load
 
-    # Messages in
+    # Received messages
 
     def receive(self, now: float, message: Message) -> list[Action]:
-        """Take in a message."""
+        """Process a message, and return the resulting actions."""
         self.counts["got"] += 1
         for digest, age in message.digests:
             self._receive_digest(now, digest, now - age)
@@ -169,7 +175,7 @@
             actions.append(NewerPolicyObserved(message.sender, message.policy_version))
         match message.kind:
             case MessageKind.PING:
-                actions.append(self._send(now, message.sender, MessageKind.ACK, message.ping_id))
+                actions.append(self._make_send(now, message.sender, MessageKind.ACK, message.ping_id))
             case MessageKind.PING_REQUEST:
                 actions += self._relay_ping(now, message)
             case MessageKind.ACK:
@@ -177,7 +183,7 @@
         return actions
 
     def record_vote(self, now: float, vote: SuspicionVote) -> None:
-        """Count a vote; one against this node itself is refuted by a newer digest."""
+        """Record a vote. A vote against this node is refuted by giving its digest a newer version."""
         if vote.suspect != self.own_digest.name:
             self.suspicions.record_vote(now, vote)
         elif vote.version >= self.own_digest.version:
@@ -187,7 +193,7 @@
 
     def _receive_digest(self, now: float, digest: LoadDigest, written_at: float) -> None:
         if digest.name == self.own_digest.name:
-            # of an earlier incarnation whose clock was ahead, or forged
+            # written by an earlier incarnation whose clock was ahead, or forged
             if digest.is_newer_than(self.own_digest):
                 self.own_digest = replace(self.own_digest, incarnation=digest.incarnation + 1)
             return
@@ -206,55 +212,55 @@
             self.relayed_pings.popitem(last=False)
         if not request.target:
             return []
-        return [self._send(now, request.target, MessageKind.PING, ping_id)]
+        return [self._make_send(now, request.target, MessageKind.PING, ping_id)]
 
     def _receive_ack(self, now: float, ping_id: int) -> list[Action]:
         relayed = self.relayed_pings.pop(ping_id, None)
         if relayed is None:
-            self.pings.acknowledged(ping_id)
+            self.pings.record_ack(ping_id)
             return []
-        return [self._send(now, relayed.requester, MessageKind.ACK, relayed.ping_id)]
+        return [self._make_send(now, relayed.requester_address, MessageKind.ACK, relayed.ping_id)]
 
-    # Time passes
+    # Timers
 
     def next_wake(self) -> float:
-        """When `wake` is to be called."""
+        """The time at which `wake` must be called."""
         return self.pings.next_wake()
 
     def wake(self, now: float) -> list[Action]:
-        """Do what is due."""
+        """Handle overdue pings, and send the next ping if it is time."""
         actions: list[Action] = []
         for ping in self.pings.overdue(now):
             actions += self._handle_overdue(now, ping)
-        if now >= self.pings.next_at:
+        if now >= self.pings.next_ping_at:
             self.pings.schedule_next(now)
-            self.suspicions.judge_suspects(now)
+            self.suspicions.declare_failures(now)
             actions += self._ping_next(now)
         return actions
 
     def _ping_next(self, now: float) -> list[Action]:
-        condemned = self.suspicions.condemned() if self.pings.wants_condemned() else []
-        target = self.pings.draw_target(condemned)
+        suspects = self.suspicions.suspects_with_quorum() if self.pings.prefers_suspect() else []
+        target = self.pings.choose_target(suspects)
         if target is None:
             return []
-        ping = self.pings.begin(now, self._next_ping_id(), target)
-        return [self._send(now, ping.address, MessageKind.PING, ping.ping_id)]
+        ping = self.pings.start_ping(now, self._next_ping_id(), target)
+        return [self._make_send(now, ping.address, MessageKind.PING, ping.ping_id)]
 
     def _handle_overdue(self, now: float, ping: PendingPing) -> list[Action]:
         if not ping.relayed:
-            self.pings.extend(now, ping)
-            if relays := self.pings.draw_relays(now, ping.name, self.table):
+            self.pings.await_relays(now, ping)
+            if relays := self.pings.choose_relays(now, ping.name, self.table):
                 return [
-                    self._send(now, relay, MessageKind.PING_REQUEST, ping.ping_id, ping.address)
+                    self._make_send(now, relay, MessageKind.PING_REQUEST, ping.ping_id, ping.address)
                     for relay in relays
                 ]
-        self.pings.missed(ping)
+        self.pings.record_miss(ping)
         self.counts["unanswered"] += 1
-        self._suspect(now, ping)
+        self._vote_against(now, ping)
         return []
 
-    def _suspect(self, now: float, ping: PendingPing) -> None:
-        """Vote against a silent node, unless it has been heard of since it was pinged."""
+    def _vote_against(self, now: float, ping: PendingPing) -> None:
+        """Vote against a node that did not answer, unless it wrote a digest after the ping was sent."""
         peer = self.table.peers.get(ping.name)
         if peer is None or peer.written_at > ping.sent_at:
             return
@@ -272,9 +278,9 @@
         self._last_ping_id += 1
         return self._last_ping_id
 
-    # Messages out
+    # Sent messages
 
-    def _send(self, now: float, address: str, kind: MessageKind, ping_id: int, target: str = "") -> Send:
+    def _make_send(self, now: float, address: str, kind: MessageKind, ping_id: int, target: str = "") -> Send:
         self.counts["sent"] += 1
         budget = MAX_MESSAGE_BYTES - HEADER_BYTES
         votes = self.suspicions.take_votes(budget * VOTES_FRACTION)
@@ -291,15 +297,15 @@
         return Send(address, message)
 
     def _digests_to_send(self, now: float, budget: int) -> tuple[AgedDigest, ...]:
-        """As many digests as fit: the own one, those of refuted suspects, then drawn ones."""
+        """As many digests as fit: the own one, those that refute votes, then a random sample of the rest."""
         budget -= self._own_digest_size()
         refutations = self.suspicions.take_refutations(now, budget * REFUTATIONS_FRACTION)
         others = [peer for peer in self.table.fresh_peers(now) if peer not in refutations]
-        drawn = self.random.sample(others, min(len(others), MAX_DRAWN_DIGESTS))
+        sampled = self.random.sample(others, min(len(others), MAX_SAMPLED_DIGESTS))
         digests = [AgedDigest(self.own_digest, 0.0)]
-        for peer in (*refutations, *drawn):
-            if peer.size <= budget:
-                budget -= peer.size
+        for peer in (*refutations, *sampled):
+            if peer.encoded_size <= budget:
+                budget -= peer.encoded_size
                 digests.append(AgedDigest(peer.digest, max(0.0, now - peer.written_at)))
         return tuple(digests)
 
--- a/shelfhaven/failover/members.py
+++ b/shelfhaven/failover/members.py
@@ -1,4 +1,4 @@
-"""The other nodes on the endpoint list, by name and by zone."""
+"""The other nodes on the endpoint list, indexed by name and by zone."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class MemberLocation(NamedTuple):
-    """Where a node is."""
+    """The zone and the address of a node."""
 
     zone: str
     address: str
 
 
 class MemberList:
-    """The listed nodes but this one itself."""
+    """The nodes on the endpoint list, without this node."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
@@ -28,16 +28,16 @@
         return len(self.locations)
 
     def update(self, locations: Mapping[str, MemberLocation]) -> None:
-        """Take over a new list."""
+        """Replace the members with those of a new endpoint list."""
         self.locations = {name: location for name, location in locations.items() if name != self.own_name}
         self.by_zone = {}
         for name, (zone, _) in sorted(self.locations.items()):
             self.by_zone.setdefault(zone, []).append(name)
 
     def zone_of(self, name: str) -> str:
-        """The zone of a listed node; "" of one that is not listed."""
+        """The zone of a node, or "" if it is not listed."""
         return self.locations[name].zone if name in self.locations else ""
 
     def address_of(self, name: str) -> str:
-        """The address of a listed node. Raises KeyError for one that is not listed."""
+        """The address of a node. Raises KeyError if it is not listed."""
         return self.locations[name].address
--- a/shelfhaven/failover/suspicion.py
+++ b/shelfhaven/failover/suspicion.py
@@ -1,9 +1,9 @@
-"""Suspicions: who is taken to have failed, and which votes and refutations are spread.
+"""Suspicion of failed nodes: counts votes, declares nodes failed, and disseminates votes and refutations.
 
-A node counts as failed only when several voters, weighted by their own health and from more than one zone
-where there are several, suspect its newest digest, and it sends no newer one within the suspicion timeout
-(SWIM's suspicion mechanism with Lifeguard's independent confirmations). Votes and refutations are spread a
-bounded number of times each, as updates are in SWIM.
+A node is declared failed when a quorum of voters suspects its newest digest and it sends no newer one within
+the suspicion timeout (SWIM's suspicion mechanism with Lifeguard's independent confirmations). Votes are
+weighted by the health of the voters and must come from more than one zone, unless all other listed nodes are
+in one. Each vote and refutation is sent a bounded number of times, as updates are in SWIM.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from shelfhaven.failover.settings import GossipSettings
 from shelfhaven.failover.wire import vote_size
 
-MAX_SPREAD = 64  # votes, and as many refutations, that are spread at a time
-MIN_SPREAD_TIMES = 3  # that each is sent, beside those for the fleet's size
+MAX_DISSEMINATED = 64  # votes, and as many refutations, that are being disseminated at a time
+BASE_TRANSMISSIONS = 3  # of each vote and refutation; more are added for the size of the fleet
 
 
 class SuspicionTracker:
-    """The votes that one node has heard or cast."""
+    """The votes that one node has received or cast, and the refutations that it has received."""
 
     def __init__(
         self,
@@ -37,47 +37,47 @@
         self.table = table
         self.counts = counts  # for the log
         self.votes: OrderedDict[SuspicionVote, int] = OrderedDict()  # newest last; how often each was sent
-        self.refuted: OrderedDict[str, int] = OrderedDict()  # suspects that answered; how often sent
+        self.refutations: OrderedDict[str, int] = OrderedDict()  # by suspect: how often its digest was sent
 
     def record_vote(self, now: float, vote: SuspicionVote) -> None:
-        """Count a vote that is neither void nor known."""
+        """Record a vote, unless it is void, already known or against an unknown node."""
         peer = self.table.peers.get(vote.suspect)
         if peer is None or vote.version < peer.digest.version or vote.voter in peer.votes:
             return
         peer.votes[vote.voter] = vote
         peer.suspected_since = min(peer.suspected_since, now)
         self.votes[vote] = 0
-        while len(self.votes) > MAX_SPREAD:
+        while len(self.votes) > MAX_DISSEMINATED:
             self.votes.popitem(last=False)
-        self._judge(now, peer)
+        self._declare_if_failed(now, peer)
 
     def record_refutation(self, name: str) -> None:
-        """A suspect has sent a newer digest, which has to spread as far as the votes did."""
-        self.refuted[name] = 0
-        self.refuted.move_to_end(name)
-        while len(self.refuted) > MAX_SPREAD:
-            self.refuted.popitem(last=False)
-
-    def judge_suspects(self, now: float) -> None:
-        """Declare those failed whose time to answer is over."""
+        """Disseminate the newer digest of a suspect, which has to reach as many nodes as the votes did."""
+        self.refutations[name] = 0
+        self.refutations.move_to_end(name)
+        while len(self.refutations) > MAX_DISSEMINATED:
+            self.refutations.popitem(last=False)
+
+    def declare_failures(self, now: float) -> None:
+        """Declare failed each suspect with a quorum of votes whose suspicion timeout has expired."""
         for peer in self.table.peers.values():
             if peer.votes:
-                self._judge(now, peer)
+                self._declare_if_failed(now, peer)
 
-    def condemned(self) -> list[str]:
-        """Listed suspects that will be declared failed unless they answer."""
+    def suspects_with_quorum(self) -> list[str]:
+        """Names of the listed suspects that will be declared failed unless they answer."""
         return [
             name for name, peer in self.table.peers.items()
             if peer.votes and not peer.failed and name in self.members and self._has_quorum(peer)
         ]  # fmt: skip
 
     def take_votes(self, budget: float) -> list[SuspicionVote]:
-        """The votes to put into a message, within a budget of bytes."""
-        max_times = self._max_times()
+        """Return the votes to send in a message, and count them as sent. They take at most `budget` bytes."""
+        max_transmissions = self._max_transmissions()
         taken: list[SuspicionVote] = []
-        for vote, times in list(self.votes.items()):
+        for vote, transmissions in list(self.votes.items()):
             peer = self.table.peers.get(vote.suspect)
-            if peer is None or vote.voter not in peer.votes or times >= max_times:
+            if peer is None or vote.voter not in peer.votes or transmissions >= max_transmissions:
                 del self.votes[vote]
                 continue
             size = vote_size(vote)
@@ -88,22 +88,29 @@
         return taken
 
     def take_refutations(self, now: float, budget: float) -> list[PeerState]:
-        """The refuted suspects whose digests to put into a message, within a budget of bytes."""
+        """Return the suspects whose digests to send as refutations, and count the digests as sent.
+
+        The digests take at most `budget` bytes.
+        """
         taken = []
-        for name, times in reversed(list(self.refuted.items())):
+        for name, transmissions in reversed(list(self.refutations.items())):
             peer = self.table.peers.get(name)
-            if peer is None or times >= self._max_times() or not self.table.is_fresh(now, peer):
-                del self.refuted[name]
-            elif peer.size <= budget:
-                budget -= peer.size
-                self.refuted[name] += 1
+            if (
+                peer is None
+                or transmissions >= self._max_transmissions()
+                or not self.table.is_fresh(now, peer)
+            ):
+                del self.refutations[name]
+            elif peer.encoded_size <= budget:
+                budget -= peer.encoded_size
+                self.refutations[name] += 1
                 taken.append(peer)
         return taken
 
-    def _judge(self, now: float, peer: PeerState) -> None:
-        # a refutation has to travel through the whole fleet
-        fleet_factor = max(1.0, math.log10(1 + len(self.members)))
-        timeout = self.settings.suspicion_timeout * fleet_factor
+    def _declare_if_failed(self, now: float, peer: PeerState) -> None:
+        # a refutation needs time to reach the whole fleet
+        size_factor = max(1.0, math.log10(1 + len(self.members)))
+        timeout = self.settings.suspicion_timeout * size_factor
         if peer.failed or now - peer.suspected_since < timeout:
             return
         if self._has_quorum(peer):
@@ -113,11 +120,11 @@
     def _has_quorum(self, peer: PeerState) -> bool:
         weight = sum(vote.voter_health for vote in peer.votes.values())
         zones = {vote.voter_zone for vote in peer.votes.values()}
-        enough_zones = len(zones) > 1 or len(self.members.by_zone) < 2
-        # half of the possible voters suffice in a small fleet
+        has_enough_zones = len(zones) > 1 or len(self.members.by_zone) < 2
+        # in a small fleet, half of the possible voters are enough
         quorum = min(self.settings.suspicion_quorum, 0.5 * max(1, len(self.members) - 1))
-        return weight >= quorum and enough_zones
+        return weight >= quorum and has_enough_zones
 
-    def _max_times(self) -> int:
-        """How often a node sends what the whole fleet is to hear."""
-        return MIN_SPREAD_TIMES + 3 * math.ceil(math.log2(2 + len(self.members)))
+    def _max_transmissions(self) -> int:
+        """How often a node sends each vote or refutation so that it reaches the whole fleet."""
+        return BASE_TRANSMISSIONS + 3 * math.ceil(math.log2(2 + len(self.members)))
--- a/tests/failover/test_digest_table.py
+++ b/tests/failover/test_digest_table.py
@@ -1,4 +1,4 @@
-"""The bounded table of digests."""
+"""Tests of the bounded table of load digests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     assert [peer.digest.name for peer in table.fresh_peers(30.0)] == ["n1"]
     assert table.fresh_peers(30.5) == []
     table.add(61.0, digest("n2"), 61.0)
-    assert list(table.peers) == ["n2"], "after four times the age"
+    assert list(table.peers) == ["n2"], "n1 is evicted after four times the maximum age"
 
 
 def test_versions_are_ordered_by_incarnation_then_sequence() -> None:
--- a/tests/failover/test_gossip.py
+++ b/tests/failover/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: spreading digests, detecting failed nodes."""
+"""Tests of the gossip protocol: dissemination of digests and detection of failed nodes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from tests.failover.helpers import NINE_NODES, SECRET, GossipGroup
 
 
-def test_all_nodes_learn_of_each_other_without_suspicions() -> None:
+def test_all_nodes_learn_the_digests_of_all_others_without_suspicions() -> None:
     group = GossipGroup(NINE_NODES)
     group.run(10.0)
     for node in group.nodes.values():
@@ -33,7 +33,7 @@
         assert all(fraction == 1.0 for fraction in node.pings.reachability.values())
 
 
-def test_dead_node_is_declared_failed_everywhere() -> None:
+def test_stopped_node_is_declared_failed_by_all_others() -> None:
     group = GossipGroup(NINE_NODES)
     group.run(5.0)
     group.stopped.add("a1")
@@ -44,14 +44,14 @@
             assert "a1" not in {digest.name for digest in node.digests(group.now)}
 
 
-def test_node_that_receives_nothing_does_not_get_others_declared_failed() -> None:
+def test_node_that_receives_no_messages_does_not_cause_others_to_be_declared_failed() -> None:
     group = GossipGroup(NINE_NODES)
     group.run(5.0)
-    group.is_lost = lambda sender, receiver: receiver == "a1"  # it sends, and receives nothing
+    group.is_lost = lambda sender, receiver: receiver == "a1"  # it sends but receives nothing
     group.run(20.0)
-    alone = group.nodes["a1"]
-    assert alone.health < 0.3
-    assert alone.failed_peers() == []
+    isolated = group.nodes["a1"]
+    assert isolated.health < 0.3
+    assert isolated.failed_peers() == []
     for name, node in group.nodes.items():
         if name != "a1":
             assert set(node.failed_peers()) <= {"a1"}
@@ -62,35 +62,35 @@
     group.is_lost = lambda sender, receiver: {sender, receiver} == {"a1", "b1"}
     group.run(30.0)
     assert all(node.failed_peers() == [] for node in group.nodes.values())
-    assert group.nodes["a1"].pings.reachability["b"] > 0.9, "others ping for it"
+    assert group.nodes["a1"].pings.reachability["b"] > 0.9, "relays ping on its behalf"
 
 
 def test_live_suspect_refutes_a_vote_with_a_newer_digest() -> None:
     group = GossipGroup(NINE_NODES)
     group.run(5.0)
     node = group.nodes["a1"]
-    before = node.own_digest
-    vote = SuspicionVote("a1", before.incarnation, before.sequence, "b1", "b", 1.0)
+    previous = node.own_digest
+    vote = SuspicionVote("a1", previous.incarnation, previous.sequence, "b1", "b", 1.0)
     node.receive(group.now, Message(MessageKind.ACK, 0, "b1", suspicions=(vote,)))
-    assert node.own_digest.version > before.version
+    assert node.own_digest.version > previous.version
     node.receive(group.now, Message(MessageKind.ACK, 0, "b1", suspicions=(vote,)))
-    assert node.counts["refuted"] == 1, "a vote on an older digest is void"
+    assert node.counts["refuted"] == 1, "a vote against an older digest is void"
 
 
-def test_restarted_node_with_a_clock_behind_takes_a_larger_incarnation() -> None:
+def test_restarted_node_whose_clock_went_back_takes_a_larger_incarnation() -> None:
     group = GossipGroup(NINE_NODES)
     group.run(5.0)
-    before = group.nodes["a1"].own_digest.incarnation
-    late = LoadDigest("a1", "a", "a1", incarnation=0, capacity=3.0)
-    group.nodes["a1"] = Gossip(group.nodes["b1"].settings, late, group.now, Random(5))
+    previous_incarnation = group.nodes["a1"].own_digest.incarnation
+    digest = LoadDigest("a1", "a", "a1", incarnation=0, capacity=3.0)
+    group.nodes["a1"] = Gossip(group.nodes["b1"].settings, digest, group.now, Random(5))
     group.nodes["a1"].update_members({name: MemberLocation(zone, name) for name, zone in NINE_NODES.items()})
     group.run(10.0)
-    assert group.nodes["a1"].own_digest.incarnation > before
-    known = next(digest for digest in group.nodes["c2"].digests(group.now) if digest.name == "a1")
+    assert group.nodes["a1"].own_digest.incarnation > previous_incarnation
+    known = next(other for other in group.nodes["c2"].digests(group.now) if other.name == "a1")
     assert known.capacity == 3.0
 
 
-def test_stale_digest_is_dropped_and_age_grows_on_the_way() -> None:
+def test_stale_digest_is_ignored_and_age_grows_while_a_node_holds_a_digest() -> None:
     node = Gossip(GossipSettings(max_digest_age=5.0), LoadDigest("a", "a", "a"), 0.0, Random(1))
     node.receive(
         1.0, Message(MessageKind.PING, 1, "b", digests=(AgedDigest(LoadDigest("x", "x", "x", 1, 1), 6.0),))
@@ -102,22 +102,22 @@
     (send,) = node.receive(2.0, Message(MessageKind.PING, 2, "b"))
     assert isinstance(send, Send)
     assert {digest.name: age for digest, age in send.message.digests}["y"] == pytest.approx(4.0)
-    assert len(node.digests(3.5)) == 1, "it is too old by then"
+    assert len(node.digests(3.5)) == 1, "the digest of y is stale by then"
 
 
-def test_refutation_spreads_as_far_as_the_votes() -> None:
+def test_refutation_reaches_nearly_all_nodes_within_the_suspicion_timeout() -> None:
     group = GossipGroup({f"{zone}{number}": zone for zone in "abc" for number in range(20)})
     group.run(20.0)
     for name, node in group.nodes.items():
         for number in range(3):
             vote = SuspicionVote("a0", 1, 10**6, f"x{number}", "abc"[number], 1.0)
             if name != "a0":
-                node.record_vote(group.now, vote)  # three votes, everywhere at once
+                node.record_vote(group.now, vote)  # every node gets three votes at once
     refutation = replace(group.nodes["a0"].own_digest, sequence=10**6 + 1)
     group.nodes["a0"].own_digest = refutation
     group.run(2.9)
     informed = sum(node.table.peers["a0"].votes == {} for name, node in group.nodes.items() if name != "a0")
-    assert informed >= 57, "all but a few of 59 have heard it within the suspicion timeout"
+    assert informed >= 57, "all but two of the 59 other nodes have received it within the suspicion timeout"
     assert not any(node.failed_peers() for node in group.nodes.values())
 
 
@@ -139,7 +139,7 @@
         node.receive(number * 0.01, request)
     assert len(node.table.peers) <= 64
     assert len(node.relayed_pings) <= gossip.MAX_RELAYED_PINGS
-    assert len(node.suspicions.votes) <= suspicion.MAX_SPREAD
+    assert len(node.suspicions.votes) <= suspicion.MAX_DISSEMINATED
     for ping_id in range(20):
         (send,) = node.receive(4.0, Message(MessageKind.PING, ping_id, "b"))
         assert isinstance(send, Send)
@@ -164,4 +164,4 @@
     node.pings.reachability["a"] = 1.0
     assert node.zone_summaries(0.0) is not None
     node.update_members({"b1": MemberLocation("b", "b1")})
-    assert set(node.pings.reachability) == {"b"}, "a zone that is no more is forgotten"
+    assert set(node.pings.reachability) == {"b"}, "zones that are no longer listed are forgotten"
--- a/tests/failover/test_load_figures.py
+++ b/tests/failover/test_load_figures.py
@@ -1,4 +1,4 @@
-"""The figures of failover in the log."""
+"""Tests of the failover figures that a node logs."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
             "turns_away": False,
         }
         assert list(actor.load_now().items()) == list(busy.items())
-        assert actor.load_now() == {**idle, "epoch": 3, "in_force": True}, "counters start anew"
+        assert actor.load_now() == {**idle, "epoch": 3, "in_force": True}, "the counters are reset"
         peer_rpc.client.close()
 
     asyncio.run(check())
--- a/tests/failover/test_members.py
+++ b/tests/failover/test_members.py
@@ -1,4 +1,4 @@
-"""The list of the other nodes."""
+"""Tests of the list of the other nodes."""
 
 from __future__ import annotations
 
--- a/tests/failover/test_wire.py
+++ b/tests/failover/test_wire.py
@@ -1,4 +1,4 @@
-"""Encoding of gossip messages."""
+"""Tests of the encoding of gossip messages."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
     assert decode_message(unseal(SECRET, seal(SECRET, encode_message(message)))) == message
 
 
-def test_datagram_of_every_field_keeps_its_bytes() -> None:
+def test_datagram_with_every_field_has_pinned_bytes() -> None:
     by_class = {"look": ClassLoad(0.12345, 36.0512, 0.00123456), "topup": ClassLoad(1.0, 0.04, 12345.678)}
     full = LoadDigest(
         name="n1",
@@ -123,22 +123,22 @@
     assert {cls: rounded_class_load(load) for cls, load in by_class.items()} == rounded
 
 
-def test_datagram_with_a_foreign_or_damaged_signature_is_rejected() -> None:
-    good = seal(SECRET, encode_message(Message(MessageKind.PING, 1, "a")))
+def test_datagram_with_a_wrong_secret_or_damaged_bytes_is_rejected() -> None:
+    datagram = seal(SECRET, encode_message(Message(MessageKind.PING, 1, "a")))
     with pytest.raises(ValueError, match="not signed"):
-        unseal(b"another secret", good)
-    for at in range(len(good)):
+        unseal(b"another secret", datagram)
+    for position in range(len(datagram)):
         with pytest.raises(ValueError, match="not signed"):
-            unseal(SECRET, good[:at] + bytes([good[at] ^ 1]) + good[at + 1 :])
+            unseal(SECRET, datagram[:position] + bytes([datagram[position] ^ 1]) + datagram[position + 1 :])
         with pytest.raises(ValueError, match="not signed"):
-            unseal(SECRET, good[:at])
+            unseal(SECRET, datagram[:position])
 
 
 @pytest.mark.parametrize("text", [
     b"{}", b"[]", b"null", b"[0,1,2,3,4,5,6]", b'[9,1,"a","",[],[],[0,0]]', b'[0,-1,"a","",[],[],[0,0]]',
     b'[0,1,"","",[],[],[0,0]]', b'[0,1,"a","",[[]],[],[0,0]]', b'[0,1,"a","",[],[["x"]],[0,0]]',
-    b'[0,1,"a","",[["n","z","a",1,1,0,[1,1,2,0,0,0],{},{}]],[],[0,0]]',  # a fraction of 2
-    b'[0,1,"a","",[["n","z","a",1,1,-1,[1,1,0,0,0,0],{},{}]],[],[0,0]]',  # an age below 0
+    b'[0,1,"a","",[["n","z","a",1,1,0,[1,1,2,0,0,0],{},{}]],[],[0,0]]',  # a fraction above 1
+    b'[0,1,"a","",[["n","z","a",1,1,-1,[1,1,0,0,0,0],{},{}]],[],[0,0]]',  # a negative age
     b'[0,1,"a","",[["n","z","a",1,1,0,[1,1,0,0,0,0],{"z":7},{}]],[],[0,0]]',
     b'[0,1,"a","",[["n","z","a",1,1,0,[null,1,0,0,0,0],{},{}]],[],[0,0]]',
     b'[0,1,"a","",[],[],[0]]', b'[0,1,"a","",[],[],["x",0]]',
