--- a/shelfhaven/failover/recovery_ramp.py
+++ b/shelfhaven/failover/recovery_ramp.py
@@ -77,7 +77,7 @@
 
     def _has_stabilized(self, zone: str, policy: ZonePolicy) -> bool:
         """Return whether the zone has been healthy long enough; each failed recovery doubles the delay."""
-        healthy_for = self.snapshot.now - self.evidence.zones[zone].well_since
+        healthy_for = self.snapshot.now - self.evidence.zones[zone].fault_free_since
         if policy.state is ZoneState.RECOVERING and policy.diverted_fraction > 0:
             return healthy_for >= self.settings.step_interval
         delay = self.settings.recovery_delay * 2.0**policy.failed_recoveries
