--- a/shelfhaven/failover/fault_evidence.py
+++ b/shelfhaven/failover/fault_evidence.py
@@ -77,7 +77,7 @@
         if len(failed_zones) > 1:
             self.halted_until = max(self.zones[zone].last_failure_start for zone in failed_zones) + window
         if now < self.halted_until:
-            return f"zones failed one after another: {', '.join(failed_zones) or 'earlier failures'}"
+            return f"one zone failed after another: {', '.join(failed_zones) or 'of late'}"
         return ""
 
     def failing_classes(self, zone: str, snapshot: FleetSnapshot) -> tuple[str, ...]:
@@ -97,11 +97,7 @@
                 answered = ", ".join(
                     f"{other} {fraction:.2f}" for other, fraction in sorted(summary.reachability.items())
                 )
-                return (
-                    f"fraction of pings answered: {answered}"
-                    if answered
-                    else "no node is on the endpoint list"
-                )
+                return f"reached by {answered}" if answered else "none of its nodes is on the list"
             case FailoverCause.FAILING:
                 by_class = ", ".join(
                     f"{summary.by_class[cls].failure_rate:.2f} of {cls}"
@@ -109,7 +105,7 @@
                 )
                 return f"{by_class or f'{summary.failure_rate:.2f} of its runs'} fail"
             case _:
-                return f"{summary.rejection_rate:.2f} of its requests are rejected"
+                return f"{summary.rejection_rate:.2f} of its requests are refused"
 
     def _update_zone(self, zone: str, snapshot: FleetSnapshot) -> None:
         # the policy carries the load from before a fault that the previous controller observed
