--- a/shelfhaven/failover/fleet_snapshot.py
+++ b/shelfhaven/failover/fleet_snapshot.py
@@ -1,4 +1,4 @@
-"""What the failover controller decides on: the zones as one node sees them, and the policy in force."""
+"""The input of a failover decision: the zones as one node sees them, and the current traffic policy."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """One moment."""
+    """The zone summaries and the traffic policy at one moment."""
 
     now: float
     policy: TrafficPolicy
     summaries: Mapping[str, ZoneSummary]  # by zone
 
     def known_others(self, zone: str) -> list[ZoneSummary]:
-        """The other zones of which there are digests."""
-        return [one for other, one in self.summaries.items() if other != zone and one.known_nodes]
+        """Summaries of the other zones, without those that have no fresh digests."""
+        return [summary for other, summary in self.summaries.items() if other != zone and summary.known_nodes]
 
     def class_loads_elsewhere(self, zone: str, cls: str) -> list[ClassLoad]:
-        """What the other zones tell of a class."""
-        return [one.by_class[cls] for one in self.known_others(zone) if cls in one.by_class]
+        """The loads of a class in the other zones that run it."""
+        return [summary.by_class[cls] for summary in self.known_others(zone) if cls in summary.by_class]
--- a/tests/failover/test_aggregation.py
+++ b/tests/failover/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Summaries of zones from digests."""
+"""Tests of the aggregation of load digests into zone summaries."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     assert summary.failure_rate == summary.rejection_rate == 0.0
 
 
-def test_only_healthy_nodes_of_other_zones_testify_on_reachability() -> None:
+def test_reachability_counts_reports_of_healthy_nodes_in_other_zones_only() -> None:
     healthy = [LoadDigest(f"n{number}", "a", reachability={"b": 0.1, "a": 1.0}) for number in range(3)]
     unhealthy = [LoadDigest(f"m{number}", "a", reachability={"b": 1.0}, health=0.1) for number in range(9)]
     summaries = summarize_zones([*healthy, *unhealthy], {"a": 12, "b": 3}, {})
     assert summaries["b"].reachability == {"a": 0.1}
-    assert summaries["a"].reachability == {}, "a zone does not testify about itself"
+    assert summaries["a"].reachability == {}, "a zone's reports about itself do not count"
--- a/tests/failover/test_simulation.py
+++ b/tests/failover/test_simulation.py
@@ -1,4 +1,4 @@
-"""Failover in virtual time."""
+"""Tests of failover between zones, simulated in virtual time."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 @pytest.mark.parametrize("seed", [100, 113])
-def test_random_faults_violate_no_bound_and_all_zones_reopen(seed: int) -> None:
+def test_random_faults_cause_no_violations_and_all_zones_reopen(seed: int) -> None:
     assert find_violations(draw_faults(seed, 3, 75.0), 3, 12, seed) == []
 
 
-def test_zone_lost_at_70_percent_utilization_costs_little() -> None:
+def test_loss_of_a_zone_costs_little_while_the_others_have_70_percent_utilization() -> None:
     simulation = FailoverSimulation(3, 18, 1, SimulationSettings(demand={"z0": 0.7, "z1": 0.6, "z2": 0.7}))
     simulation.run(20.0)
     simulation.lose_zone("z1")
