--- a/shelfhaven/failover/controller.py
+++ b/shelfhaven/failover/controller.py
@@ -174,7 +174,7 @@
         zones = {}
         for zone, zone_policy in policy.zones.items():
             if zone_policy.diverted_fraction <= 0 and zone in self.evidence.zones:
-                zone_policy = replace(zone_policy, load=self.evidence.zones[zone].load)
+                zone_policy = replace(zone_policy, load=self.evidence.zones[zone].usual_load)
             zones[zone] = zone_policy
         return replace(policy, zones=zones)
 
@@ -189,7 +189,7 @@
 
     def _urgency(self, zone: str) -> _Urgency:
         evidence = self.evidence.zones[zone]
-        return _Urgency(evidence.cause is not FailoverCause.UNREACHABLE, evidence.since, zone)
+        return _Urgency(evidence.cause is not FailoverCause.UNREACHABLE, evidence.cause_since, zone)
 
 
 def _with_listed_zones(policy: TrafficPolicy, summaries: Mapping[str, ZoneSummary]) -> TrafficPolicy:
--- a/shelfhaven/failover/fault_evidence.py
+++ b/shelfhaven/failover/fault_evidence.py
@@ -27,10 +27,10 @@
     """The fault observed in one zone, if any, and the zone's load without one."""
 
     cause: FailoverCause = FailoverCause.NONE
-    since: float = math.inf  # when the cause was first observed
-    well_since: float = math.inf  # start of the time without a fault; infinite during a fault
+    cause_since: float = math.inf  # when the cause was first observed
+    fault_free_since: float = math.inf  # start of the time without a fault; infinite during a fault
     last_failure_start: float = -math.inf  # when it last started to fail
-    load: float = 0.0  # moving average of its own load, without diverted load, while it had no fault
+    usual_load: float = 0.0  # moving average of its own load, without diverted load, while it had no fault
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
         for zone in sorted(snapshot.summaries):
             self._update_zone(zone, snapshot)
 
-    def is_unfit(self, zone: str) -> bool:
+    def is_unreachable_or_failing(self, zone: str) -> bool:
         """Whether a zone is unreachable or failing, so that no traffic may be diverted to it."""
         return self.zones[zone].cause in EXCLUDED_DESTINATION_CAUSES
 
@@ -62,7 +62,7 @@
         """Whether a zone's fault has been observed for long enough to act on it."""
         listed_zones = sum(summary.listed_nodes > 0 for summary in snapshot.summaries.values())
         factor = SPARSE_EVIDENCE_FACTOR if listed_zones < 3 else 1.0
-        return snapshot.now - self.zones[zone].since >= self.settings.evidence_time * factor
+        return snapshot.now - self.zones[zone].cause_since >= self.settings.evidence_time * factor
 
     def halt_reason(self, now: float) -> str:
         """Return why no failing zone is diverted, or "" if such diversions are not halted.
@@ -114,20 +114,20 @@
     def _update_zone(self, zone: str, snapshot: FleetSnapshot) -> None:
         # the policy carries the load from before a fault that the previous controller observed
         previous_load = snapshot.policy.zone_policy(zone).load
-        evidence = self.zones.setdefault(zone, ZoneEvidence(load=previous_load))
+        evidence = self.zones.setdefault(zone, ZoneEvidence(usual_load=previous_load))
         cause = self._detect_cause(zone, snapshot)
         if cause is FailoverCause.NONE:
-            evidence.well_since = min(evidence.well_since, snapshot.now)
-            self._update_load(evidence, snapshot.summaries[zone])
+            evidence.fault_free_since = min(evidence.fault_free_since, snapshot.now)
+            self._update_usual_load(evidence, snapshot.summaries[zone])
         else:
-            evidence.well_since = math.inf
+            evidence.fault_free_since = math.inf
         if cause is not evidence.cause:
             evidence.cause = cause
-            evidence.since = snapshot.now
+            evidence.cause_since = snapshot.now
             if cause is FailoverCause.FAILING:
                 evidence.last_failure_start = snapshot.now
 
-    def _update_load(self, evidence: ZoneEvidence, summary: ZoneSummary) -> None:
+    def _update_usual_load(self, evidence: ZoneEvidence, summary: ZoneSummary) -> None:
         """Update the moving average of a zone's own load.
 
         The average changes slowly, because the load of a lost zone falls before the fault is detected.
@@ -135,10 +135,10 @@
         if not summary.known_nodes:
             return
         own_load = max(0.0, summary.load - self.received_load.get(summary.zone, 0.0))
-        if evidence.load:
-            evidence.load += LOAD_SMOOTHING_FACTOR * (own_load - evidence.load)
+        if evidence.usual_load:
+            evidence.usual_load += LOAD_SMOOTHING_FACTOR * (own_load - evidence.usual_load)
         else:
-            evidence.load += own_load
+            evidence.usual_load += own_load
 
     def _detect_cause(self, zone: str, snapshot: FleetSnapshot) -> FailoverCause:
         if self._is_unreachable(zone, snapshot):
--- a/shelfhaven/failover/recovery_ramp.py
+++ b/shelfhaven/failover/recovery_ramp.py
@@ -78,7 +78,7 @@
 
     def _is_calm(self, zone: str, policy: ZonePolicy) -> bool:
         """Whether the zone was well for long enough: twice as long for each failed recovery."""
-        well_for = self.snapshot.now - self.evidence.zones[zone].well_since
+        well_for = self.snapshot.now - self.evidence.zones[zone].fault_free_since
         if policy.state is ZoneState.RECOVERING and policy.diverted_fraction > 0:
             return well_for >= self.settings.step_interval
         delay = self.settings.recovery_delay * 2.0**policy.failed_recoveries
--- a/shelfhaven/failover/spare_capacity.py
+++ b/shelfhaven/failover/spare_capacity.py
@@ -25,11 +25,11 @@
         policy = self.snapshot.policy.zone_policy(zone)
         if policy.diverted_fraction > 0 and policy.load > 0:
             return policy.load
-        if load := self.evidence.zones[zone].load or summaries[zone].load:
+        if load := self.evidence.zones[zone].usual_load or summaries[zone].load:
             return load
         # a new controller has not seen an unreachable zone well, and takes it to be like the others
         others = [other for other in summaries if other != zone]
-        loads = {other: self.evidence.zones[other].load for other in others}
+        loads = {other: self.evidence.zones[other].usual_load for other in others}
         nodes = sum(summaries[other].listed_nodes for other in others if loads[other] > 0)
         return sum(loads.values()) / nodes * summaries[zone].listed_nodes if nodes else 0.0
 
@@ -52,7 +52,12 @@
         found = {}
         for other, summary in self.snapshot.summaries.items():
             is_open = self.snapshot.policy.zone_policy(other).diverted_fraction <= 0
-            if other == zone or self.evidence.is_unfit(other) or not is_open or not summary.known_nodes:
+            if (
+                other == zone
+                or self.evidence.is_unreachable_or_failing(other)
+                or not is_open
+                or not summary.known_nodes
+            ):
                 continue
             taken = policy.diverted_fraction * policy.load * policy.destinations.get(other, 0.0)
             usable = summary.capacity * summary.warm_fraction * (1 - self.settings.capacity_reserve)
--- a/shelfhaven/failover/traffic_moves.py
+++ b/shelfhaven/failover/traffic_moves.py
@@ -158,7 +158,7 @@
             return True
         if self.snapshot.policy.zone_policy(zone).diverted_fraction > 0:
             return True
-        return self.evidence.is_unfit(zone) and self.evidence.has_lasted(zone, self.snapshot)
+        return self.evidence.is_unreachable_or_failing(zone) and self.evidence.has_lasted(zone, self.snapshot)
 
 
 def _is_diverted_for_failing(policy: ZonePolicy) -> bool:
