--- a/shelfhaven/failover/aggregation.py
+++ b/shelfhaven/failover/aggregation.py
@@ -13,7 +13,7 @@
 
 from shelfhaven.failover.load_digest import ClassLoad, LoadDigest
 
-MAX_RATIO_TO_MEDIAN = 4.0  # cap on one node's capacity or load, as a multiple of a median over the zone
+MAX_RATIO_TO_MEDIAN = 4.0  # cap on a node's capacity, as a multiple of the zone's median; also bounds loads
 MIN_OBSERVER_HEALTH = 0.3  # the reachability reported by less healthy nodes is ignored
 
 Observations: TypeAlias = dict[str, dict[str, list[float]]]  # by observed zone, then by observing zone
--- a/shelfhaven/failover/fault_evidence.py
+++ b/shelfhaven/failover/fault_evidence.py
@@ -105,7 +105,7 @@
                 )
                 return f"{by_class or f'{summary.failure_rate:.2f} of its runs'} fail"
             case _:
-                return f"{summary.rejection_rate:.2f} of its requests are refused"
+                return f"{summary.rejection_rate:.2f} of its requests are rejected"
 
     def _update_zone(self, zone: str, snapshot: FleetSnapshot) -> None:
         # the policy carries the load from before a fault that the previous controller observed
