--- a/shelfhaven/lab/__init__.py
+++ b/shelfhaven/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stubs of other systems, load generators, simulations, models, checkers."""
+"""Test support: stubs of other systems, load generators, simulations, formal models and checkers."""
--- a/shelfhaven/lab/election_checker.py
+++ b/shelfhaven/lab/election_checker.py
@@ -1,6 +1,6 @@
-"""Invariants of elections, checked from what targets executed and from the nodes' logs.
+"""Checks the invariants of leader election against the requests at the targets and the nodes' logs.
 
-Owns the comparison alone. It must never ask a node, nor share code with what it checks.
+The checker is independent of what it checks: it neither queries a node nor shares code with the elector.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 from shelfhaven.lab.fleet_checker import LogLine, faults
 
-LEADING_STATES = ("holding", "handing on")  # in the words of the log
+LEADING_STATES = ("holding", "handing on")  # values of `state` in the event `duty`
 
 
 @dataclass(frozen=True, slots=True)
 class TargetAction:
-    """One request at a target; `applied`: it took effect."""
+    """A request that arrived at a target; `applied` tells whether it was executed."""
 
     at: float
     task: str
     fencing_token: int
     key: str
     applied: bool
-    repeated: bool = False  # an earlier request with its key was executed
-    body_changed: bool = False  # that request had another body
+    repeated: bool = False  # an earlier request with the same key was executed
+    body_changed: bool = False  # and that request had a different body
 
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """A time in which a node believed that it led a task, and was running."""
+    """A period in which a node was running and believed that it led a task."""
 
     node: str
     task: str
@@ -39,10 +39,12 @@
 
 
 def find_effect_breaches(actions: Sequence[TargetAction], idempotent: bool = True) -> list[str]:
-    """Return breaches at a target, in words: an effect of a smaller token after a greater one, or an
-    operation executed twice.
+    """Describe the breaches at a target.
 
-    `idempotent`: a second request with the same key is no second operation.
+    A breach is a lower token executed after a higher one, an operation executed twice, or an idempotency key
+    used for two different bodies.
+
+    With `idempotent`, a second request with the same key does not count as a second operation.
     """
     found: list[str] = []
     highest: dict[str, int] = {}
@@ -52,30 +54,30 @@
             continue
         task, token = action.task, action.fencing_token
         if token < highest.get(task, 0):
-            found.append(f"{task}: an effect of {token} at {action.at:.3f} after {highest[task]}")
+            found.append(f"{task}: token {token} executed at {action.at:.3f} after token {highest[task]}")
         highest[task] = max(highest.get(task, 0), token)
         if action.key in keys and not (idempotent and action.repeated):
-            found.append(f"{task}: {action.key} twice")
+            found.append(f"{task}: {action.key} executed twice")
         if action.body_changed:
-            found.append(f"{task}: {action.key} was another one before")
+            found.append(f"{task}: {action.key} reused with a different body")
         keys.add(action.key)
     return found
 
 
 def count_rejected(actions: Sequence[TargetAction]) -> int:
-    """Return how many actions of replaced leaders were rejected by their token."""
+    """Return the number of actions that were rejected because of their fencing token."""
     return sum(not action.applied for action in actions)
 
 
 class Candidacy(NamedTuple):
-    """A node and a task that it may lead."""
+    """A node, and a task that it is a candidate for."""
 
     node: str
     task: str
 
 
 class OpenTerm(NamedTuple):
-    """A term of leadership that has begun."""
+    """A term of leadership that has begun and not ended."""
 
     fencing_token: int
     begin: float
@@ -83,19 +85,19 @@
 
 @dataclass(slots=True)
 class LeadershipReader:
-    """Reads from a history which nodes believed that they led, and when."""
+    """Derives from a history which nodes believed that they led a task, and when."""
 
-    found: list[Leadership] = field(default_factory=list)
+    leaderships: list[Leadership] = field(default_factory=list)
     open_terms: dict[Candidacy, OpenTerm] = field(default_factory=dict)
     last_at: float = 0.0
 
     def read(self, line: LogLine) -> None:
-        """Take the next line."""
+        """Process the next line of the history."""
         node, event = str(line["server"]), line["event"]
         at = float(line["at"])
         self.last_at = max(self.last_at, at)
         if event == "duty":
-            self._state_changed(node, line, at)
+            self._process_state_change(node, line, at)
         elif event == "duty_work_over":
             candidacy = Candidacy(node, line["duty"])
             term = self.open_terms.get(candidacy)
@@ -106,12 +108,12 @@
                 self._end(candidacy, at)
 
     def finish(self) -> list[Leadership]:
-        """Return all leaderships by their beginning; open terms last until the end of the history."""
+        """Return all leaderships in the order of their beginnings; open terms end with the history."""
         for candidacy in list(self.open_terms):
             self._end(candidacy, self.last_at)
-        return sorted(self.found, key=lambda one: one.begin)
+        return sorted(self.leaderships, key=lambda leadership: leadership.begin)
 
-    def _state_changed(self, node: str, line: LogLine, at: float) -> None:
+    def _process_state_change(self, node: str, line: LogLine, at: float) -> None:
         candidacy = Candidacy(node, line["duty"])
         self._end(candidacy, at)
         if line["state"] in LEADING_STATES and line.get("acts", True):
@@ -119,14 +121,14 @@
 
     def _end(self, candidacy: Candidacy, at: float) -> None:
         if term := self.open_terms.pop(candidacy, None):
-            self.found.append(Leadership(*candidacy, *term, at))
+            self.leaderships.append(Leadership(*candidacy, *term, at))
 
 
 def find_leaderships(history: Iterable[LogLine]) -> list[Leadership]:
-    """Return which nodes believed that they led, and when, from their logs and what was done to them.
+    """Return which nodes believed that they led a task, and when.
 
-    A leadership ends when the process is killed or suspended; after a suspension it begins anew when the log
-    says so.
+    The history contains the nodes' logs and the operations on their processes. A leadership also ends when
+    the process is killed or suspended; after a suspension, a new one begins only when the node logs it.
     """
     reader = LeadershipReader()
     for line in history:
@@ -135,41 +137,43 @@
 
 
 def find_overlaps(leaderships: Sequence[Leadership], tolerance: float) -> list[str]:
-    """Return times in which two nodes believed that they led a task, longer than the tolerance in seconds."""
+    """Describe the overlaps, longer than `tolerance` seconds, of two nodes that believed they led a task."""
     found = []
-    for number, one in enumerate(leaderships):
-        for other in leaderships[number + 1 :]:
-            if other.task != one.task or other.node == one.node:
+    for number, first in enumerate(leaderships):
+        for second in leaderships[number + 1 :]:
+            if second.task != first.task or second.node == first.node:
                 continue
-            overlap = min(one.end, other.end) - max(one.begin, other.begin)
+            overlap = min(first.end, second.end) - max(first.begin, second.begin)
             if overlap > tolerance:
-                two = f"{one.node} ({one.fencing_token}) and {other.node} ({other.fencing_token})"
-                found.append(f"{one.task}: {two} both for {overlap:.3f} s")
+                nodes = f"{first.node} ({first.fencing_token}) and {second.node} ({second.fencing_token})"
+                found.append(f"{first.task}: {nodes} both led for {overlap:.3f} s")
     return found
 
 
 def leaderless_gaps(leaderships: Sequence[Leadership], task: str) -> list[float]:
-    """Return the seconds without a leader between one and the next."""
-    times = sorted((one.begin, one.end) for one in leaderships if one.task == task)
-    found: list[float] = []
+    """Return the gaps between consecutive leaderships of a task, in seconds."""
+    periods = sorted(
+        (leadership.begin, leadership.end) for leadership in leaderships if leadership.task == task
+    )
+    gaps: list[float] = []
     led_until: float | None = None
-    for begin, end in times:
+    for begin, end in periods:
         if led_until is not None and begin > led_until:
-            found.append(begin - led_until)
+            gaps.append(begin - led_until)
         led_until = max(led_until or end, end)
-    return found
+    return gaps
 
 
 def find_reused_tokens(history: Iterable[LogLine]) -> list[str]:
-    """Return fencing tokens under which two nodes led a task."""
+    """Describe the fencing tokens under which two different nodes led a task."""
     owners: dict[tuple[str, int], str] = {}
     found = []
     for line in history:
         if line["event"] == "duty" and line["state"] == "holding":
-            term = line["duty"], int(line["fence"])
-            owner = owners.setdefault(term, line["server"])
+            task_and_token = line["duty"], int(line["fence"])
+            owner = owners.setdefault(task_and_token, line["server"])
             if owner != line["server"]:
-                found.append(f"{line['duty']}: number {line['fence']} for {owner} and {line['server']}")
+                found.append(f"{line['duty']}: token {line['fence']} used by {owner} and {line['server']}")
     return found
 
 
@@ -179,6 +183,9 @@
     tolerance: float,
     idempotent: bool = True,
 ) -> list[str]:
-    """Return every breach, in words; `tolerance`: seconds for which two nodes may believe that they lead."""
+    """Describe every breach of an invariant.
+
+    `tolerance` is the time in seconds for which two nodes may both believe that they lead a task.
+    """
     found = faults(history) + find_effect_breaches(actions, idempotent)
     return found + find_overlaps(find_leaderships(history), tolerance) + find_reused_tokens(history)
--- a/shelfhaven/lab/election_demo.py
+++ b/shelfhaven/lab/election_demo.py
@@ -1,6 +1,6 @@
-"""The demo of an election: a leader is suspended in the middle of its work, replaced, resumed, and rejected.
+"""Demo of leader election: a leader is suspended while it works, is replaced, resumes, and is rejected.
 
-Owns the script and what is printed. It decides nothing: three nodes elect the leader among themselves.
+The demo causes the faults and prints what happens; three real nodes elect the leader among themselves.
 """
 
 from __future__ import annotations
@@ -15,74 +15,84 @@
 from shelfhaven.lab.fault_links import Rule
 from shelfhaven.lab.fleet import FleetNode
 
-TIMEOUT = 90.0  # seconds of all of it
+TIMEOUT = 90.0  # seconds for the whole demo
 LEADER_TIMEOUT = 40.0  # seconds until a task has a leader
-ACTION_DELAY = 6.0  # seconds for which an action is on its way: longer than a lease and what follows
+# Seconds that an action takes to arrive: longer than the lease and the election of a successor.
+ACTION_DELAY = 6.0
 
 
-def _say(began: float, text: str) -> None:
-    click.echo(f"{time.time() - began:6.2f} s  {text}")
+def _echo(started_at: float, text: str) -> None:
+    click.echo(f"{time.time() - started_at:6.2f} s  {text}")
 
 
-async def _play(began: float) -> int:
+async def _run(started_at: float) -> int:
     async with election_fleet("nodes", 3, faultless=False) as elections:
         await _start_behind_gate(elections)
-        _say(began, "three nodes start; they agree among themselves, and the duty is to send a file")
-        second = await _replace_suspended_leader(elections, began)
+        _echo(
+            started_at, "three nodes start and form the consensus store; the singleton task is to send a file"
+        )
+        second = await _replace_suspended_leader(elections, started_at)
         await elections.fleet.drain(second)
         third = await elections.wait_for_leader(other_than=second, timeout=LEADER_TIMEOUT)
-        _say(began, f"{second.name} was told to leave and handed it on in order: {third.name} holds it")
-        return _judge(elections, began)
+        _echo(started_at, f"{second.name} was drained and handed the task over: {third.name} leads it")
+        return _report(elections, started_at)
 
 
 async def _start_behind_gate(elections: ElectionFleet) -> None:
-    """Start all with a gate before the target, so that actions can be delayed on their way."""
-    gate = await elections.fleet.net.gate("book", 0, elections.target.port, source="holders")
-    port, elections.target.port = elections.target.port, gate.port  # the file names the gate
+    """Start all nodes, with a gate in front of the target through which their actions can be delayed."""
+    gate = await elections.fleet.net.gate("target", 0, elections.target.port, source="leaders")
+    # the operator's file gets the address of the gate
+    port, elections.target.port = elections.target.port, gate.port
     await elections.fleet.start_all()
     elections.target.port = port
 
 
-async def _replace_suspended_leader(elections: ElectionFleet, began: float) -> FleetNode:
-    """Suspend the first leader with an action on its way, and resume it when it is replaced."""
+async def _replace_suspended_leader(elections: ElectionFleet, started_at: float) -> FleetNode:
+    """Suspend the first leader with an action in transit, and resume it when it has been replaced."""
     fleet, target = elections.fleet, elections.target
     first = await elections.wait_for_leader(timeout=LEADER_TIMEOUT)
     sent = _batches_sent(elections)
-    _say(began, f"{first.name} holds it under number {_fencing_token(first)}, {sent} pieces sent")
+    _echo(started_at, f"{first.name} leads with fencing token {_fencing_token(first)}, {sent} batches sent")
     await soon(lambda: len(target.applied("settle")) > 20)
-    fleet.net.set("holders", "book", Rule(delay=ACTION_DELAY))
+    fleet.net.set("leaders", "target", Rule(delay=ACTION_DELAY))
     await asyncio.sleep(0.5)
     fleet.suspend(first)
-    _say(began, f"{first.name} stands still (SIGSTOP) with a piece on its way; its lease is {LEASE:g} s")
+    _echo(
+        started_at,
+        f"{first.name} is suspended (SIGSTOP) with a batch in transit; its lease lasts {LEASE:g} s",
+    )
     await asyncio.sleep(0.2)
-    fleet.net.set("holders", "book", None)
+    fleet.net.set("leaders", "target", None)
     second = await elections.wait_for_leader(other_than=first, timeout=LEADER_TIMEOUT)
     token = _fencing_token(second)
-    _say(began, f"{second.name} holds it under number {token} and goes on from the note")
+    _echo(started_at, f"{second.name} leads with fencing token {token} and continues from the checkpoint")
     applied = len(target.applied("settle"))
     await soon(lambda: len(target.applied("settle")) > applied + 10)
     await soon(lambda: election_checker.count_rejected(elections.actions()) > 0)
-    _say(began, f"what {first.name} had on its way comes, and is refused by its number")
+    _echo(started_at, f"the delayed batch of {first.name} arrives and is rejected for its fencing token")
     fleet.resume(first)
-    _say(began, f"{first.name} goes on (SIGCONT)")
+    _echo(started_at, f"{first.name} is resumed (SIGCONT)")
     await soon(lambda: _last_state(first) == "without")
     for line in first.events("duty")[-2:]:
-        _say(began, f"{first.name}: {line['state']}, {line['why']}")
+        _echo(started_at, f"{first.name}: {line['state']}, {line['why']}")
     return second
 
 
-def _judge(elections: ElectionFleet, began: float) -> int:
-    """Print what was done, in order or not; return the exit code."""
-    found = election_checker.find_breaches(elections.fleet.whole_history(), elections.actions(), 0.0)
+def _report(elections: ElectionFleet, started_at: float) -> int:
+    """Print a summary and every breach of an invariant; return the exit code."""
+    breaches = election_checker.find_breaches(elections.fleet.whole_history(), elections.actions(), 0.0)
     rejected = election_checker.count_rejected(elections.actions())
-    order = "in the order of the file" if elections.in_order() else "out of order"
+    order_text = "in the order of the file" if elections.in_order() else "out of order"
     gaps = election_checker.leaderless_gaps(elections.leaderships(), "settle")
     sent = _batches_sent(elections)
-    _say(began, f"{sent} pieces {order}; {rejected} late ones refused by their number")
-    _say(began, f"without a holder for {', '.join(f'{gap:.2f}' for gap in gaps)} s")
-    for breach in found:
-        _say(began, f"broken: {breach}")
-    return 1 if found or not elections.in_order() else 0
+    _echo(
+        started_at,
+        f"{sent} batches {order_text}; {rejected} delayed batches rejected for their fencing token",
+    )
+    _echo(started_at, f"without a leader for {', '.join(f'{gap:.2f}' for gap in gaps)} s")
+    for breach in breaches:
+        _echo(started_at, f"breach: {breach}")
+    return 1 if breaches or not elections.in_order() else 0
 
 
 def _batches_sent(elections: ElectionFleet) -> int:
@@ -100,11 +110,11 @@
 
 
 def main() -> int:
-    """Run the demo; the exit code is 1 if anything was done out of order."""
+    """Run the demo and return its exit code: 1 if an invariant was breached or a batch was out of order."""
 
-    async def bounded() -> int:
-        """The demo within its time limit."""
+    async def run_with_timeout() -> int:
+        """Run the demo within its time limit."""
         async with asyncio.timeout(TIMEOUT):
-            return await _play(time.time())
+            return await _run(time.time())
 
-    return asyncio.run(bounded())
+    return asyncio.run(run_with_timeout())
--- a/shelfhaven/lab/election_fleet.py
+++ b/shelfhaven/lab/election_fleet.py
@@ -1,7 +1,7 @@
-"""Fleets of processes that elect leaders: the operator's file, the store, the target, and what is inspected.
+"""Fleets of real processes that elect leaders: their operator's files, consensus store, target and checks.
 
-Owns no process and no socket of its own: `fleet.py`, `fenced_store.py` and `etcd_stub.py` do. It influences a
-node only by its file, its gates and signals.
+The processes and sockets belong to `fleet.py`, `fenced_store.py` and `etcd_stub.py`. A node is influenced
+only through its operator's file, its gates and signals.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.lab.waiting import wait_until
 
-LEASE = 2.0  # seconds
+LEASE = 2.0  # seconds that a leader's lease lasts
 CANDIDATE_DELAY = 0.15  # seconds
-MEMBERS = 3  # of the quorum, where nodes are the store
-LINES = 20_000  # of the file that is sent
-USUAL_TIMEOUT = 45.0  # seconds for what a test waits for
-CHECK_INTERVAL = 0.02  # seconds
+MEMBERS = 3  # of the quorum, if the nodes are the consensus store
+LINES = 20_000  # of the file that the tasks send
+USUAL_TIMEOUT = 45.0  # seconds within which a condition has to become true
+CHECK_INTERVAL = 0.02  # seconds between two evaluations of a condition
+# Membership settings with short intervals, for the operator's file.
 FAST = """asks 60
     expected 6
     every "200ms"
@@ -35,7 +36,7 @@
     proof-within "200ms"
     rise "1s"
 """
-SEND = """duty "{name}" kind="send" {{
+SEND_TASK = """duty "{name}" kind="send" {{
         to "{to}"
         file "{file}"
         every "{every}"
@@ -46,10 +47,10 @@
 
 
 class ElectionFleet:
-    """A store or members of a quorum, a target, and a fleet of processes.
+    """A fleet of processes with its consensus store, backend and target.
 
-    `tasks` are the names of tasks that send the file; `target_options` and `other_tasks` are text for the
-    operator's file.
+    `tasks` are the names of the tasks that send the file. `target_options` and `other_tasks` are text that is
+    inserted into the operator's file. `store` is None if some of the nodes are the consensus store.
     """
 
     def __init__(
@@ -67,30 +68,30 @@
         self.election_settings = (
             f'lease="{LEASE:g}s" margin="200ms" step="{CANDIDATE_DELAY:g}s" settle="60s" dead="2s"'
         )
-        self.path = processes.folder / "lines"
-        self.path.write_text("".join(f"line {number}\n" for number in range(LINES)))
-        processes.values["singleton_tasks"] = self.file_text
+        self.file_path = processes.folder / "lines"
+        self.file_path.write_text("".join(f"line {number}\n" for number in range(LINES)))
+        processes.values["singleton_tasks"] = self.duties_section
 
-    # The operator's file
+    # Operator's file
 
-    def file_text(self, node: FleetNode) -> str:
-        """Return the node `duties` of a process's file."""
+    def duties_section(self, node: FleetNode) -> str:
+        """Return the `duties` section of a node's operator file."""
         tasks = [
-            SEND.format(
+            SEND_TASK.format(
                 name=name,
                 to=self.target.url,
-                file=self.path,
+                file=self.file_path,
                 more=self.target_options,
                 every=self.send_interval,
             )
             for name in self.tasks
         ]
-        lines = [self._store_text(node), *tasks, self.other_tasks]
+        lines = [self._store_section(node), *tasks, self.other_tasks]
         return f"duties {self.election_settings} {{\n{chr(10).join(lines)}\n}}"
 
-    def _store_text(self, node: FleetNode) -> str:
+    def _store_section(self, node: FleetNode) -> str:
         if self.store:
-            assert node.store_gate  # its own, so that it can be cut off
+            assert node.store_gate  # each node has its own, so that it can be cut off alone
             endpoint = f'endpoint "127.0.0.1:{node.store_gate.port}"'
             return f'agree engine="etcd" within="1s" {{ {endpoint}; }}'
         members = "\n".join(
@@ -103,11 +104,11 @@
 
     @property
     def nodes(self) -> list[FleetNode]:
-        """All processes, whether they run or not."""
+        """All nodes, whether their processes run or not."""
         return list(self.fleet.nodes.values())
 
     def actions(self) -> list[election_checker.TargetAction]:
-        """Return the requests at the target, for the checker."""
+        """Return the requests that arrived at the target, as input for the checker."""
         return [
             election_checker.TargetAction(
                 request.at,
@@ -122,11 +123,14 @@
         ]
 
     def leaderships(self) -> list[election_checker.Leadership]:
-        """Return which nodes believed that they led, and when."""
+        """Return which nodes believed that they led a task, and when."""
         return election_checker.find_leaderships(self.fleet.whole_history())
 
     def leader(self, task: str = "settle") -> FleetNode | None:
-        """Return the running process that last said that it leads a task, under the highest token."""
+        """Return the running node that leads a task according to its log, None if there is none.
+
+        Of several, the one with the highest fencing token counts.
+        """
         last_lines = {}
         for node in self.fleet.running():
             for line in node.events("duty"):
@@ -138,12 +142,12 @@
     async def wait_for_leader(
         self, task: str = "settle", other_than: FleetNode | None = None, timeout: float = USUAL_TIMEOUT
     ) -> FleetNode:
-        """Wait until some process leads a task and acts in it."""
-        began = time.time()
+        """Wait until a node leads a task and the target has executed an action of it; return the node."""
+        started_at = time.time()
         await soon(
             lambda: (node := self.leader(task))
             and node is not other_than
-            and self.effects_since(began, task),
+            and self.effects_since(started_at, task),
             timeout,
         )
         node = self.leader(task)
@@ -151,11 +155,11 @@
         return node
 
     def tasks_led(self) -> list[str]:
-        """Return the tasks that processes lead by their last `load` events."""
+        """Return the tasks that are led according to the last `load` event of each node."""
         return [task for tasks in self._tasks_led_by_node() for task in tasks]
 
     def max_tasks_led(self) -> int:
-        """Return the largest number of tasks that one process leads."""
+        """Return the largest number of tasks that a single node leads."""
         return max(map(len, self._tasks_led_by_node()))
 
     def _tasks_led_by_node(self) -> list[list[str]]:
@@ -163,11 +167,11 @@
         return [lines[-1]["duties"]["holding"] for lines in loads if lines]
 
     def effects_since(self, at: float, task: str = "settle") -> int:
-        """Return the number of effects since a time."""
+        """Return how many actions of a task the target has executed since a Unix time."""
         return sum(request.at >= at for request in self.target.applied(task))
 
     def in_order(self) -> bool:
-        """Whether each task's batches were first sent in the order of the file, with none left out."""
+        """Whether the batches of each task first arrived in the order of the file, with none left out."""
         for task in self.tasks:
             requests = [request for request in self.target.applied(task) if not request.repeated]
             first_lines = [int(request.key.rpartition("/")[2]) for request in requests]
@@ -177,7 +181,7 @@
 
 
 async def soon(condition: Callable[[], object], timeout: float = USUAL_TIMEOUT) -> None:
-    """Wait until a condition is true. Raises TimeoutError."""
+    """Wait until a condition is true; raise TimeoutError if it is not within the timeout."""
     await wait_until(condition, timeout, CHECK_INTERVAL)
 
 
@@ -189,9 +193,10 @@
     faultless: bool = True,
     checks_tokens: bool = True,
 ) -> AsyncIterator[ElectionFleet]:
-    """Return a fleet whose history is checked at its end, unless it is not to be `faultless`.
+    """Start the store, the backend and the target, and prepare a fleet of `count` nodes.
 
-    `tolerance`: seconds for which two processes may believe that they lead.
+    If `faultless` is set, the invariants are checked at the end; `tolerance` is the time in seconds for which
+    two nodes may both believe that they lead a task.
     """
     store = EtcdStub(port_count=3) if engine == "etcd" else None
     backend = BackendStub("v", [], 16, 0.005)
@@ -202,10 +207,10 @@
     await target.start()
     try:
         async with fleet(count, store.port if store else 0, [backend.address], more=FAST) as processes:
-            made = ElectionFleet(store, backend, target, processes)
-            yield made
+            elections = ElectionFleet(store, backend, target, processes)
+            yield elections
             if faultless:
-                _raise_breaches(processes, made, tolerance)
+                _check_invariants(processes, elections, tolerance)
     finally:
         backend.stop()
         await target.stop()
@@ -213,8 +218,8 @@
             await store.stop()
 
 
-def _raise_breaches(processes: Fleet, made: ElectionFleet, tolerance: float) -> None:
+def _check_invariants(processes: Fleet, elections: ElectionFleet, tolerance: float) -> None:
     history = processes.whole_history()
-    found = election_checker.find_breaches(history, made.actions(), tolerance)
-    if found:
-        raise AssertionError(f"{len(found)} breaches: {found[:5]}")
+    breaches = election_checker.find_breaches(history, elections.actions(), tolerance)
+    if breaches:
+        raise AssertionError(f"{len(breaches)} breaches: {breaches[:5]}")
--- a/shelfhaven/lab/election_scenario.py
+++ b/shelfhaven/lab/election_scenario.py
@@ -1,7 +1,7 @@
-"""Drawn faults among real processes: `python -m shelfhaven.lab.election_scenario --seeds 3 --engine nodes`.
+"""Runs random fault schedules on real processes.
 
-Owns the playing of a schedule on a fleet. It must never judge: `election_checker.py` does, from the history
-and from what the target carried out.
+Run it as `python -m shelfhaven.lab.election_scenario --seeds 3 --engine nodes`. `election_checker.py` checks
+the invariants afterwards, from the history of the fleet and the requests at the target.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from shelfhaven.lab.fleet import FleetNode
 from shelfhaven.lab.schedules import run_seeds
 
-# without loss: connections lose nothing in between
+# Without message loss, because a TCP connection never loses single messages.
 KINDS = {
     "etcd": (
         FaultKind.SUSPEND,
@@ -30,113 +30,114 @@
         FaultKind.STORE_DOWN,
         FaultKind.DELAY,
     ),
-    "nodes": (FaultKind.SUSPEND, FaultKind.KILL, FaultKind.DRAIN),  # members reach each other past the gates
+    # The members' own connections do not pass through the gates.
+    "nodes": (FaultKind.SUSPEND, FaultKind.KILL, FaultKind.DRAIN),
 }
-LONGEST_FAULT = 5.0  # seconds
-RECOVERY_TIME = 30.0  # seconds until every task has its leader again
+MAX_FAULT_DURATION = 5.0  # seconds
+RECOVERY_TIME = 30.0  # seconds after the last fault within which every task has a leader again
 TASKS = 4
-SURVIVORS_MIN = 2  # processes that are left running
+SURVIVORS_MIN = 2  # processes that keep running
 CHECK_INTERVAL = 0.1  # seconds
 
 
 class ScheduleRunner:
-    """Runs one schedule on one fleet of processes."""
+    """Runs one fault schedule on one fleet of processes."""
 
-    def __init__(self, made: ElectionFleet, faults: Sequence[Fault]) -> None:
-        self.election_fleet = made
+    def __init__(self, elections: ElectionFleet, faults: Sequence[Fault]) -> None:
+        self.elections = elections
         self.faults = faults
-        self.endings: list[asyncio.Task[None]] = []
+        self.end_tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
-        """Begin all faults at their times, and end each."""
+        """Cause each fault at its time, and wait until the last one has ended."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         for fault in self.faults:
-            await asyncio.sleep(max(0.0, began + fault.at - loop.time()))
-            await self._begin(fault)
-        await asyncio.gather(*self.endings)
+            await asyncio.sleep(max(0.0, started_at + fault.at - loop.time()))
+            await self._begin_fault(fault)
+        await asyncio.gather(*self.end_tasks)
 
-    def _later(self, seconds: float, end: Callable[[], Awaitable[object] | None]) -> None:
+    def _end_after(self, seconds: float, end: Callable[[], Awaitable[object] | None]) -> None:
         async def wait_and_end() -> None:
-            """End the fault once its time is over."""
+            """End the fault after its duration."""
             await asyncio.sleep(seconds)
             result = end()
             if result is not None:
                 await result
 
-        self.endings.append(asyncio.ensure_future(wait_and_end()))
+        self.end_tasks.append(asyncio.ensure_future(wait_and_end()))
 
-    async def _begin(self, fault: Fault) -> None:
-        seconds = min(LONGEST_FAULT, fault.seconds)
-        names = [self.election_fleet.nodes[number].name for number in fault.nodes]
-        running = [node for node in (self.election_fleet.fleet.nodes[name] for name in names) if node.running]
+    async def _begin_fault(self, fault: Fault) -> None:
+        seconds = min(MAX_FAULT_DURATION, fault.seconds)
+        names = [self.elections.nodes[number].name for number in fault.nodes]
+        running = [node for node in (self.elections.fleet.nodes[name] for name in names) if node.running]
         match fault.kind:
             case FaultKind.SUSPEND:
                 for node in running:
-                    self.election_fleet.fleet.suspend(node)
-                    self._later(seconds, partial(self.election_fleet.fleet.resume, node))
+                    self.elections.fleet.suspend(node)
+                    self._end_after(seconds, partial(self.elections.fleet.resume, node))
             case FaultKind.KILL | FaultKind.DRAIN:
-                for node in running[: max(0, len(self.election_fleet.fleet.running()) - SURVIVORS_MIN)]:
+                for node in running[: max(0, len(self.elections.fleet.running()) - SURVIVORS_MIN)]:
                     await self._end_process(fault.kind, node)
-                    self._later(seconds, partial(self._restart, node))
+                    self._end_after(seconds, partial(self._restart, node))
             case _:
-                self._begin_at_store(fault, names, seconds)
+                self._begin_store_fault(fault, names, seconds)
 
-    def _begin_at_store(self, fault: Fault, names: list[str], seconds: float) -> None:
-        net, store = self.election_fleet.fleet.net, self.election_fleet.store
+    def _begin_store_fault(self, fault: Fault, names: list[str], seconds: float) -> None:
+        net, store = self.elections.fleet.net, self.elections.store
         match fault.kind:
             case FaultKind.CUT:
                 net.cut(names, ["store"])
-                self._later(seconds, partial(net.cut, names, ["store"], None))
+                self._end_after(seconds, partial(net.cut, names, ["store"], None))
             case FaultKind.STORE_DOWN if store:
                 store.mode = Mode.HANG
-                self._later(seconds, partial(setattr, store, "mode", Mode.SERVE))
+                self._end_after(seconds, partial(setattr, store, "mode", Mode.SERVE))
             case FaultKind.DELAY:
                 for name in names:
-                    net.set(name, "store", Rule(delay=fault.degree))
-                self._later(seconds, partial(self._end_delay, names))
+                    net.set(name, "store", Rule(delay=fault.severity))
+                self._end_after(seconds, partial(self._end_delay, names))
 
     async def _end_process(self, kind: FaultKind, node: FleetNode) -> None:
-        self.election_fleet.fleet.resume(node)
+        self.elections.fleet.resume(node)
         if kind is FaultKind.KILL:
-            await self.election_fleet.fleet.kill(node)
+            await self.elections.fleet.kill(node)
         else:
-            self._later(0.0, partial(self.election_fleet.fleet.drain, node))
+            self._end_after(0.0, partial(self.elections.fleet.drain, node))
 
     async def _restart(self, node: FleetNode) -> None:
         if node.process:
             await node.process.wait()
-        await self.election_fleet.fleet.start(node)
+        await self.elections.fleet.start(node)
 
     def _end_delay(self, names: list[str]) -> None:
         for name in names:
-            self.election_fleet.fleet.net.set(name, "store", None)
+            self.elections.fleet.net.set(name, "store", None)
 
 
 async def find_breaches(faults: Sequence[Fault], nodes: int, engine: str = "etcd") -> list[str]:
-    """Run a schedule on a number of processes; return what went wrong, in words."""
-    async with election_fleet(engine, nodes, faultless=False) as made:
-        made.tasks = [f"duty{number}" for number in range(TASKS)]
-        made.send_interval = "100ms"
-        await made.fleet.start_all()
-        await ScheduleRunner(made, faults).run()
+    """Run a schedule on a number of processes and describe the breaches of invariants."""
+    async with election_fleet(engine, nodes, faultless=False) as elections:
+        elections.tasks = [f"duty{number}" for number in range(TASKS)]
+        elections.send_interval = "100ms"
+        await elections.fleet.start_all()
+        await ScheduleRunner(elections, faults).run()
         found: list[str] = []
         try:
             async with asyncio.timeout(RECOVERY_TIME):
-                while set(made.tasks_led()) != set(made.tasks):
+                while set(elections.tasks_led()) != set(elections.tasks):
                     await asyncio.sleep(CHECK_INTERVAL)
         except TimeoutError:
-            without = sorted(set(made.tasks) - set(made.tasks_led()))
-            found.append(f"{without} without a holder {RECOVERY_TIME:.0f} s after the last fault")
-        found += election_checker.find_breaches(made.fleet.whole_history(), made.actions(), 0.0)
-        if not made.in_order():
-            found.append("pieces out of the order of their file, or left out")
+            leaderless = sorted(set(elections.tasks) - set(elections.tasks_led()))
+            found.append(f"{leaderless} without a leader {RECOVERY_TIME:.0f} s after the last fault")
+        found += election_checker.find_breaches(elections.fleet.whole_history(), elections.actions(), 0.0)
+        if not elections.in_order():
+            found.append("batches sent out of order or left out")
         return found
 
 
 def main() -> int:
-    """Run schedules; one that fails is shrunk and printed."""
-    parser = argparse.ArgumentParser(description="Drawn faults for duties among processes.")
+    """Run random schedules; print each failing one after shrinking it."""
+    parser = argparse.ArgumentParser(description="Run leader election on real processes under random faults.")
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--nodes", type=int, default=12)
--- a/shelfhaven/lab/etcd_keyspace.py
+++ b/shelfhaven/lab/etcd_keyspace.py
@@ -1,7 +1,7 @@
-"""The data of the etcd stub: keys with revisions, leases that hold keys, and the history for watches.
+"""The data of the etcd stub: keys with revisions, leases with their keys, and the event history for watches.
 
-It follows the published reference of the etcd v3 data model as far as this program uses it. It knows nothing
-of gRPC; `etcd_stub.py` serves it.
+It implements the part of the documented etcd v3 data model that this program uses. `etcd_stub.py` serves it
+over gRPC.
 """
 
 from __future__ import annotations
@@ -14,42 +14,42 @@
 
 from shelfhaven.protocol.pb import etcd_pb2 as pb
 
-MAX_HISTORY = 100_000  # events that watches can go back to
-FIRST_LEASE_ID = 1000
+MAX_HISTORY = 100_000  # events that a watch can replay
+LEASE_ID_BASE = 1000
 FIRST_CLUSTER_ID = 0xABCD
 RAFT_TERM = 2
 
 
 @dataclass(slots=True)
 class Lease:
-    """One lease and its keys."""
+    """A lease and the keys attached to it."""
 
     ttl: int  # seconds
-    expires_at: float  # monotonic
+    expires_at: float  # monotonic clock
     keys: set[bytes] = field(default_factory=set)
 
 
 class KeyspaceSnapshot(NamedTuple):
-    """An earlier state of a store."""
+    """The revision and the keys of a store at one time."""
 
     revision: int
     kvs: dict[bytes, pb.KeyValue]
 
 
 class EtcdKeyspace:
-    """One store."""
+    """The keys, leases and history of one store; a subclass may override `changed` and `reset`."""
 
     def __init__(self) -> None:
         self.cluster = FIRST_CLUSTER_ID
         self.revision = 1
         self.kvs: dict[bytes, pb.KeyValue] = {}
         self.leases: dict[int, Lease] = {}
-        self.next_lease = FIRST_LEASE_ID
+        self.last_lease_id = LEASE_ID_BASE
         self.history: deque[pb.Event] = deque(maxlen=MAX_HISTORY)
-        self.compacted = 0  # revision up to which there is no history
+        self.compacted = 0  # revision up to which the history was compacted
 
     def end_watches(self) -> None:
-        """Forget the history, and end the watches on it."""
+        """Clear the history and end all watches."""
         self.history.clear()
         self.reset()
 
@@ -57,10 +57,10 @@
         """Called after each change of a key."""
 
     def reset(self) -> None:
-        """Called when watches have to end."""
+        """Called when all watches have to end."""
 
     def header(self) -> pb.ResponseHeader:
-        """The header of every response."""
+        """Return the header that every response carries."""
         return pb.ResponseHeader(
             cluster_id=self.cluster, member_id=1, revision=self.revision, raft_term=RAFT_TERM
         )
@@ -68,12 +68,12 @@
     # Keys
 
     def put(self, key: str, value: str, lease: int = 0) -> None:
-        """Put a key, in a revision of its own."""
+        """Put a key, in a new revision."""
         self.revision += 1
         self.put_at(self.revision, key.encode(), value.encode(), lease)
 
     def put_at(self, revision: int, name: bytes, value: bytes, lease: int) -> None:
-        """Put a key at a revision that has begun; a lease of 0 is none."""
+        """Put a key as part of a revision; a lease ID of 0 stands for no lease."""
         old = self.kvs.get(name)
         key_value = pb.KeyValue(
             key=name,
@@ -91,14 +91,14 @@
         self._record(pb.Event(type=pb.Event.PUT, kv=key_value))
 
     def delete(self, *names: bytes) -> None:
-        """Delete the keys that are there, in one revision."""
+        """Delete those of the keys that exist, in one new revision."""
         existing = [name for name in names if name in self.kvs]
         if existing:
             self.revision += 1
             self.delete_at(self.revision, existing)
 
     def delete_at(self, revision: int, names: Sequence[bytes]) -> None:
-        """Delete keys at a revision that has begun."""
+        """Delete keys as part of a revision."""
         for name in names:
             old = self.kvs.pop(name, None)
             if old is None:
@@ -107,7 +107,7 @@
             self._record(pb.Event(type=pb.Event.DELETE, kv=pb.KeyValue(key=name, mod_revision=revision)))
 
     def names_in(self, key: bytes, range_end: bytes) -> list[bytes]:
-        """The keys of a range in order; without an end the one key, if it is there."""
+        """Return the keys of a range in order; without a range end, the single key if it exists."""
         return sorted(name for name in self.kvs if name == key or (range_end and key <= name < range_end))
 
     def _detach(self, key_value: pb.KeyValue) -> None:
@@ -121,14 +121,17 @@
     # Leases
 
     def grant(self, lease_id: int, ttl: int, lifetime: float) -> int:
-        """Grant a lease, with the next id if 0 is requested; it really ends after its lifetime."""
-        self.next_lease += 1
-        granted = lease_id or self.next_lease
-        self.leases[granted] = Lease(ttl, time.monotonic() + lifetime)
-        return granted
+        """Grant a lease and return its ID, which is the next free one if `lease_id` is 0.
+
+        The lease expires after `lifetime` seconds, whatever TTL is reported.
+        """
+        self.last_lease_id += 1
+        new_id = lease_id or self.last_lease_id
+        self.leases[new_id] = Lease(ttl, time.monotonic() + lifetime)
+        return new_id
 
     def expire_leases(self) -> None:
-        """End the leases whose time is over, and delete their keys."""
+        """Remove the expired leases and delete their keys."""
         now = time.monotonic()
         for lease_id, lease in list(self.leases.items()):
             if lease.expires_at <= now:
@@ -138,7 +141,7 @@
     # History
 
     def events_since(self, revision: int) -> list[pb.Event]:
-        """Events from a revision on, oldest first."""
+        """Return the events from a revision on, oldest first."""
         found: list[pb.Event] = []
         for event in reversed(self.history):
             if event.kv.mod_revision < revision:
@@ -147,12 +150,12 @@
         return found[::-1]
 
     def compact(self) -> None:
-        """Forget the history: watches that ask for it are cancelled."""
+        """Compact the history: watches that start at an earlier revision are cancelled."""
         self.compacted = self.revision
         self.history.clear()
 
     def forget(self) -> None:
-        """Become another store, with nothing in it."""
+        """Become a different, empty store: another cluster ID, no keys, no leases."""
         self.cluster += 1
         self.revision = 1
         self.kvs.clear()
@@ -160,11 +163,11 @@
         self.end_watches()
 
     def snapshot(self) -> KeyspaceSnapshot:
-        """The present revision and keys, for `restore`."""
+        """Return the current revision and keys, for `restore`."""
         return KeyspaceSnapshot(self.revision, dict(self.kvs))
 
     def restore(self, snapshot: KeyspaceSnapshot) -> None:
-        """Go back to an earlier state of the same store; all leases and later changes are lost."""
+        """Restore an earlier state of the same store; later changes and all leases are lost."""
         self.revision = snapshot.revision
         self.kvs = dict(snapshot.kvs)
         self.leases.clear()
--- a/shelfhaven/lab/etcd_stub.py
+++ b/shelfhaven/lab/etcd_stub.py
@@ -1,7 +1,7 @@
-"""Stub of an etcd-like list service: the etcd v3 gRPC interface, with faults on request.
+"""Stub of an etcd server, the list service and the consensus store of tests: the v3 gRPC API with faults.
 
-Serves an `EtcdKeyspace` on one port or several, through a queue of a stated rate, and counts its requests.
-It follows the interface's published reference as far as this program uses it.
+It serves an `EtcdKeyspace` on one or several ports, limits and counts the requests, and implements the part
+of the documented API that this program uses.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from shelfhaven.protocol.pb import etcd_pb2 as pb
 
 EXPIRY_INTERVAL_S = 0.1
-MAX_QUEUE = 4000  # requests that wait for the store
-HANG_S = 3600.0  # longer than any caller waits
-BATCH_DELAY_S = 0.02  # changes within it go out in one watch response
+MAX_QUEUE = 4000  # waiting requests beyond which requests are rejected
+HANG_S = 3600.0  # longer than any client waits for an answer
+BATCH_DELAY_S = 0.02  # changes within this time are sent in one watch response
 
 Context: TypeAlias = "grpc.aio.ServicerContext[Any, Any]"
 RequestT = TypeVar("RequestT", bound=Message)
@@ -33,26 +33,26 @@
 
 
 class Mode(Enum):
-    """How the service answers a request."""
+    """How the server handles a request."""
 
     SERVE = "serve"
-    HANG = "hang"  # takes it and answers nothing
+    HANG = "hang"  # accepts it and does not answer
     REJECT = "reject"  # RESOURCE_EXHAUSTED, with Retry-After
     LEADERLESS = "leaderless"  # UNAVAILABLE
 
 
 @dataclass(eq=False, slots=True)
 class WatchStream:
-    """One open stream of watches."""
+    """One open watch stream, which carries any number of watches."""
 
-    epoch: int  # of the store; streams of an earlier epoch end
-    watches: list[pb.WatchCreateRequest] = field(default_factory=list)  # by key or range
-    unanswered: list[pb.WatchCreateRequest] = field(default_factory=list)  # new watches
+    epoch: int  # of the stub when the stream was opened
+    watches: list[pb.WatchCreateRequest] = field(default_factory=list)  # confirmed watches
+    unconfirmed: list[pb.WatchCreateRequest] = field(default_factory=list)  # requested, not yet confirmed
     progress_requested: bool = False
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def covers(self, event: pb.Event) -> bool:
-        """Whether one of the watches is for the event's key."""
+        """Whether one of the watches covers the event's key."""
         return any(_covers(watch, event.kv.key) for watch in self.watches)
 
 
@@ -65,28 +65,28 @@
 
 
 class EtcdStub(EtcdKeyspace):
-    """One store behind one port or several; `rate` are requests a second that it can do, 0 for any number."""
+    """One store behind one or several ports; it handles `rate` requests per second, 0 for no limit."""
 
     def __init__(self, rate: float = 0.0, port_count: int = 1) -> None:
         super().__init__()
         self.rate = rate
-        self.ports = [0] * port_count  # drawn at the first start
+        self.ports = [0] * port_count  # 0: the system chooses one at the first start
         # Faults
         self.mode = Mode.SERVE
-        self.port_modes = [Mode.SERVE] * port_count  # of each port alone
+        self.port_modes = [Mode.SERVE] * port_count  # mode of each port, in addition to `mode`
         self.delay = 0.0  # seconds before each answer
-        self.advice = 0.0  # seconds of Retry-After
-        self.lost_answers: Counter[str] = Counter()  # by method: answers that are lost after the effect
-        self.answer_delays: dict[str, float] = {}  # by method: seconds by which answers come after the effect
-        self.lease_fraction = 1.0  # fraction of its time that a lease really lasts
-        # Counts
+        self.advice = 0.0  # seconds of Retry-After in rejections, 0 for none
+        self.lost_answers: Counter[str] = Counter()  # by method: answers to lose after the execution
+        self.answer_delays: dict[str, float] = {}  # by method: seconds between execution and answer
+        self.lease_fraction = 1.0  # fraction of its TTL after which a lease really expires
+        # Counters
         self.requests_by_second: Counter[int] = Counter()  # by whole second of the monotonic clock
-        self.requests_by_method: Counter[str] = Counter()  # by method
-        self.watches = 0  # open
+        self.requests_by_method: Counter[str] = Counter()
+        self.watches = 0  # open watch streams
         self.bytes_out = 0
-        # What runs
-        self.free_at = 0.0  # when all requests in the queue are answered
-        self.epoch = 0  # streams of an earlier one end
+        # Internal state
+        self.queue_empty_at = 0.0  # monotonic time at which the queue will be empty
+        self.epoch = 0  # watch streams of an earlier epoch end
         self.open_streams: set[WatchStream] = set()
         self.servers: list[grpc.aio.Server] = []
         self.expiry_task: asyncio.Task[None] | None = None
@@ -102,23 +102,23 @@
         return f"127.0.0.1:{self.port}"
 
     def peak_request_rate(self) -> int:
-        """Requests in the busiest second."""
+        """Return the number of requests in the busiest second."""
         return max(self.requests_by_second.values(), default=0)
 
     # Life cycle
 
     async def start(self) -> None:
-        """Listen, at the ports it had before if it had any."""
-        for front in range(len(self.ports)):
+        """Listen, after a restart on the same ports as before."""
+        for port_index in range(len(self.ports)):
             server = grpc.aio.server(options=[("grpc.so_reuseport", 0)])
-            server.add_generic_rpc_handlers(self._handlers(front))
-            self.ports[front] = server.add_insecure_port(f"127.0.0.1:{self.ports[front]}")
+            server.add_generic_rpc_handlers(self._handlers(port_index))
+            self.ports[port_index] = server.add_insecure_port(f"127.0.0.1:{self.ports[port_index]}")
             await server.start()
             self.servers.append(server)
-        self.expiry_task = asyncio.ensure_future(self._expire())
+        self.expiry_task = asyncio.ensure_future(self._expire_leases_periodically())
 
     async def stop(self) -> None:
-        """Crash: all connections break."""
+        """Stop as in a crash: all connections break."""
         if self.expiry_task:
             self.expiry_task.cancel()
         self.epoch += 1
@@ -138,50 +138,50 @@
         self.epoch += 1
         self.changed()
 
-    async def _expire(self) -> None:
+    async def _expire_leases_periodically(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             self.expire_leases()
 
     # The gRPC interface
 
-    def _handlers(self, front: int) -> tuple[grpc.GenericRpcHandler, ...]:
-        unary = {
-            RANGE: self._unary(RANGE, self._range, pb.RangeRequest, front),
-            PUT: self._unary(PUT, self._put, pb.PutRequest, front),
-            TXN: self._unary(TXN, self._txn, pb.TxnRequest, front),
-            GRANT: self._unary(GRANT, self._grant, pb.LeaseGrantRequest, front),
-            REVOKE: self._unary(REVOKE, self._revoke, pb.LeaseRevokeRequest, front),
+    def _handlers(self, port_index: int) -> tuple[grpc.GenericRpcHandler, ...]:
+        unary_handlers = {
+            RANGE: self._unary(RANGE, self._range, pb.RangeRequest, port_index),
+            PUT: self._unary(PUT, self._put, pb.PutRequest, port_index),
+            TXN: self._unary(TXN, self._txn, pb.TxnRequest, port_index),
+            GRANT: self._unary(GRANT, self._grant, pb.LeaseGrantRequest, port_index),
+            REVOKE: self._unary(REVOKE, self._revoke, pb.LeaseRevokeRequest, port_index),
         }
-        streams = {
-            WATCH: self._stream(self._watch, pb.WatchRequest, front),
-            KEEP_ALIVE: self._stream(self._keep_alive, pb.LeaseKeepAliveRequest, front),
+        stream_handlers = {
+            WATCH: self._stream(self._watch, pb.WatchRequest, port_index),
+            KEEP_ALIVE: self._stream(self._keep_alive, pb.LeaseKeepAliveRequest, port_index),
         }
         services: dict[str, dict[str, Any]] = {}
-        for path, handler in (unary | streams).items():
+        for path, handler in (unary_handlers | stream_handlers).items():
             _, service, method = path.split("/")
             services.setdefault(service, {})[method] = handler
         return tuple(grpc.method_handlers_generic_handler(*service) for service in services.items())
 
     def _unary(
         self, path: str, answer: Callable[[RequestT, Context], Awaitable[ResponseT]],
-        request_type: type[RequestT], front: int,
+        request_type: type[RequestT], port_index: int,
     ) -> grpc.RpcMethodHandler[RequestT, ResponseT]:  # fmt: skip
         async def handle(request: RequestT, context: Context) -> ResponseT:
-            """Answer one request, with the faults that are set."""
-            await self._wait_for_turn(path, context, front)
+            """Answer one request, with the configured faults."""
+            await self._wait_for_turn(path, context, port_index)
             response = await answer(request, context)
-            await self._disturb_answer(_method_name(path), context)
+            await self._apply_answer_faults(_method_name(path), context)
             return response
 
         return grpc.unary_unary_rpc_method_handler(handle, request_type.FromString, self._serialize)
 
     def _stream(
         self, answer: Callable[[int, AsyncIterator[RequestT], Context], AsyncIterator[ResponseT]],
-        request_type: type[RequestT], front: int,
+        request_type: type[RequestT], port_index: int,
     ) -> grpc.RpcMethodHandler[RequestT, ResponseT]:  # fmt: skip
         return grpc.stream_stream_rpc_method_handler(
-            partial(answer, front), request_type.FromString, self._serialize
+            partial(answer, port_index), request_type.FromString, self._serialize
         )
 
     def _serialize(self, response: Message) -> bytes:
@@ -189,17 +189,17 @@
         self.bytes_out += len(data)
         return data
 
-    async def _wait_for_turn(self, path: str, context: Context, front: int) -> None:
-        """Count a request, and wait for its turn in the queue; faults end it."""
+    async def _wait_for_turn(self, path: str, context: Context, port_index: int) -> None:
+        """Count a request and wait for its turn in the queue; abort it on a fault or if the queue is full."""
         self.requests_by_second[int(time.monotonic())] += 1
         self.requests_by_method[_method_name(path)] += 1
-        await self._apply_modes({self.mode, self.port_modes[front]}, context)
+        await self._apply_modes({self.mode, self.port_modes[port_index]}, context)
         now = time.monotonic()
         if self.rate:
-            if (self.free_at - now) * self.rate > MAX_QUEUE:
+            if (self.queue_empty_at - now) * self.rate > MAX_QUEUE:
                 await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "etcdserver: too many requests")
-            self.free_at = max(self.free_at, now) + 1 / self.rate
-            await asyncio.sleep(self.free_at - now)
+            self.queue_empty_at = max(self.queue_empty_at, now) + 1 / self.rate
+            await asyncio.sleep(self.queue_empty_at - now)
         if self.delay:
             await asyncio.sleep(self.delay)
 
@@ -212,8 +212,8 @@
         if Mode.LEADERLESS in modes:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
 
-    async def _disturb_answer(self, method: str, context: Context) -> None:
-        """Lose or delay an answer whose effect is there."""
+    async def _apply_answer_faults(self, method: str, context: Context) -> None:
+        """Lose or delay the answer to a request that has been executed."""
         if self.lost_answers[method] > 0:
             self.lost_answers[method] -= 1
             await context.abort(grpc.StatusCode.UNAVAILABLE, "transport is closing")
@@ -242,26 +242,32 @@
         return pb.PutResponse(header=self.header())
 
     async def _txn(self, request: pb.TxnRequest, context: Context) -> pb.TxnResponse:
-        """Compare and set; the stub compares modification revisions for equality alone."""
+        """Execute a transaction; only comparisons of modification revisions for equality are supported."""
         succeeded = await self._compare(request.compare, context)
         operations = request.success if succeeded else request.failure
-        puts = [one.request_put for one in operations if one.HasField("request_put")]
+        puts = [operation.request_put for operation in operations if operation.HasField("request_put")]
         for put in puts:
             await self._check_lease(put.lease, context)
-        deletes = [one.request_delete_range.key for one in operations if one.HasField("request_delete_range")]
+        deletes = [
+            operation.request_delete_range.key
+            for operation in operations
+            if operation.HasField("request_delete_range")
+        ]
         if deletes or puts:
             self.revision += 1
             self.delete_at(self.revision, deletes)
             for put in puts:
                 self.put_at(self.revision, put.key, put.value, put.lease)
-        responses = [await self._operation_response(one, context) for one in operations]
+        responses = [await self._operation_response(operation, context) for operation in operations]
         return pb.TxnResponse(header=self.header(), succeeded=succeeded, responses=responses)
 
     async def _compare(self, compares: Sequence[pb.Compare], context: Context) -> bool:
         succeeded = True
         for compare in compares:
             if compare.target != pb.Compare.MOD or compare.result != pb.Compare.EQUAL:
-                await context.abort(grpc.StatusCode.UNIMPLEMENTED, "not in this stub")
+                await context.abort(
+                    grpc.StatusCode.UNIMPLEMENTED, "etcd stub: only equality of mod_revision is supported"
+                )
             key_value = self.kvs.get(compare.key)
             succeeded &= (key_value.mod_revision if key_value else 0) == compare.mod_revision
         return succeeded
@@ -293,68 +299,70 @@
         return pb.LeaseRevokeResponse(header=self.header())
 
     async def _keep_alive(
-        self, front: int, requests: AsyncIterator[pb.LeaseKeepAliveRequest], context: Context
+        self, port_index: int, requests: AsyncIterator[pb.LeaseKeepAliveRequest], context: Context
     ) -> AsyncIterator[pb.LeaseKeepAliveResponse]:
         async for request in requests:
-            await self._wait_for_turn(KEEP_ALIVE, context, front)
+            await self._wait_for_turn(KEEP_ALIVE, context, port_index)
             lease = self.leases.get(request.ID)
             if lease:
                 lease.expires_at = time.monotonic() + lease.ttl * self.lease_fraction
-            ttl = lease.ttl if lease else 0  # which says that the lease is unknown
-            await self._disturb_answer(_method_name(KEEP_ALIVE), context)
+            ttl = lease.ttl if lease else 0  # a TTL of 0 tells the client that the lease is unknown
+            await self._apply_answer_faults(_method_name(KEEP_ALIVE), context)
             yield pb.LeaseKeepAliveResponse(header=self.header(), ID=request.ID, TTL=ttl)
 
     # Watches
 
     async def _watch(
-        self, front: int, requests: AsyncIterator[pb.WatchRequest], context: Context
+        self, port_index: int, requests: AsyncIterator[pb.WatchRequest], context: Context
     ) -> AsyncIterator[pb.WatchResponse]:
-        """One stream: announces changes of each watched key or range, and its progress."""
+        """Serve one watch stream: send changes of its watched keys and ranges, and progress notifications."""
         stream = WatchStream(self.epoch)
         async for request in requests:
             if request.WhichOneof("request_union") == "create_request":
                 break
         else:
             return
-        await self._wait_for_turn(WATCH, context, front)
-        stream.unanswered.append(request.create_request)
+        await self._wait_for_turn(WATCH, context, port_index)
+        stream.unconfirmed.append(request.create_request)
         self.watches += 1
         self.open_streams.add(stream)
-        reading = asyncio.ensure_future(self._read_watch_requests(front, requests, context, stream))
+        reader = asyncio.ensure_future(self._read_watch_requests(port_index, requests, context, stream))
         try:
             async for response in self._watch_responses(stream):
                 yield response
         finally:
-            reading.cancel()
+            reader.cancel()
             self.open_streams.discard(stream)
             self.watches -= 1
 
     async def _read_watch_requests(
-        self, front: int, requests: AsyncIterator[pb.WatchRequest], context: Context, stream: WatchStream
+        self, port_index: int, requests: AsyncIterator[pb.WatchRequest], context: Context, stream: WatchStream
     ) -> None:
-        """Take further requests of the stream."""
+        """Read the further requests of a watch stream."""
         async for request in requests:
             kind = request.WhichOneof("request_union")
             if kind == "progress_request":
-                await self._wait_for_turn(WATCH, context, front)
+                await self._wait_for_turn(WATCH, context, port_index)
                 stream.progress_requested = True
             elif kind == "create_request":
-                stream.unanswered.append(request.create_request)
+                stream.unconfirmed.append(request.create_request)
             stream.wake.set()
 
     async def _watch_responses(self, stream: WatchStream) -> AsyncIterator[pb.WatchResponse]:
         next_revision = self.revision + 1
         while stream.epoch == self.epoch:
-            created = stream.unanswered
-            stream.unanswered = []
+            new_watches = stream.unconfirmed
+            stream.unconfirmed = []
             events = [event for event in self.events_since(next_revision) if stream.covers(event)]
-            for watch in created:
+            for watch in new_watches:
                 if 0 < watch.start_revision <= self.compacted:
                     yield self._compacted_response()
                     return
                 yield pb.WatchResponse(header=self.header(), watch_id=max(1, watch.watch_id), created=True)
-                first = watch.start_revision or self.revision + 1
-                events += [event for event in self.events_since(first) if _covers(watch, event.kv.key)]
+                first_revision = watch.start_revision or self.revision + 1
+                events += [
+                    event for event in self.events_since(first_revision) if _covers(watch, event.kv.key)
+                ]
                 stream.watches.append(watch)
             next_revision = self.revision + 1
             if events or stream.progress_requested:
--- a/shelfhaven/lab/fenced_store.py
+++ b/shelfhaven/lab/fenced_store.py
@@ -1,7 +1,6 @@
-"""Stub of a task's target: an HTTP service that checks fencing tokens, and records what it did.
+"""Stub of a singleton task's target: an HTTP service that checks fencing tokens and records its requests.
 
-Owns the highest token of each task and the list of requests, in the order of arrival. It asks no node, and
-relies on nothing but the token that a request carries.
+It relies on nothing but the token in each request: it never queries a node.
 """
 
 from __future__ import annotations
@@ -20,76 +19,79 @@
 from tornado.netutil import bind_sockets
 
 HOST = "127.0.0.1"
-FENCING_HEADER, IDEMPOTENCY_HEADER = "X-Fence", "Idempotency-Key"  # not taken from what is tested
+FENCING_HEADER, IDEMPOTENCY_HEADER = "X-Fence", "Idempotency-Key"  # not imported from the code under test
 
 
 class Mode(Enum):
-    """What it does with a request."""
+    """How the target handles a request."""
 
     SERVE = "serve"
-    HANG = "hang"  # takes it, does nothing, answers nothing
-    FAIL = "fail"  # does nothing and answers 500
-    LOSE = "lose"  # does it and answers nothing
+    HANG = "hang"  # neither executes nor answers it
+    FAIL = "fail"  # answers 500 without executing it
+    LOSE = "lose"  # executes it but does not answer
 
 
 @dataclass(frozen=True, slots=True)
 class TargetRequest:
-    """One request: executed, or rejected for its token."""
+    """A request, which was executed or rejected because of its fencing token."""
 
-    at: float  # Unix time at which it was taken
+    at: float  # Unix time of its execution or rejection
     task: str
     fencing_token: int
     key: str  # idempotency key
     body: bytes
-    applied: bool
-    repeated: bool = False  # it had been carried out under its key before
-    body_changed: bool = False  # and with another body
+    applied: bool  # executed, not rejected
+    repeated: bool = False  # a request with the same key was executed before
+    body_changed: bool = False  # and that request had a different body
 
 
 @dataclass(eq=False)
 class FencedStore:
-    """The service; `checks_tokens` is whether it rejects smaller tokens."""
+    """The service.
+
+    Unless `checks_tokens` is set, it also executes requests whose token is lower than an earlier one.
+    """
 
     checks_tokens: bool = True
     mode: Mode = Mode.SERVE
-    delay: float = 0.0  # seconds before it takes a request that it has read
-    port: int = 0
-    requests: list[TargetRequest] = field(default_factory=list)
-    highest_tokens: Counter[str] = field(default_factory=Counter)
-    bodies: dict[str, bytes] = field(default_factory=dict)  # by key
+    delay: float = 0.0  # seconds between reading and handling a request
+    port: int = 0  # 0: the system chooses one at the first start
+    requests: list[TargetRequest] = field(default_factory=list)  # in the order of handling
+    highest_tokens: Counter[str] = field(default_factory=Counter)  # by task
+    bodies: dict[str, bytes] = field(default_factory=dict)  # first executed body, by idempotency key
     server: HTTPServer | None = None
-    tasks: set[asyncio.Task[None]] = field(default_factory=set)
+    handlers: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
     def url(self) -> str:
-        """Its URL."""
+        """The URL of the service."""
         return f"http://{HOST}:{self.port}"
 
     async def start(self) -> None:
-        """Listen, at the port it had before if it had one."""
+        """Listen, after a restart on the same port as before."""
         sockets = bind_sockets(self.port, HOST)
-        self.server = HTTPServer(self._received)
+        self.server = HTTPServer(self._on_request)
         self.server.add_sockets(sockets)
         self.port = sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening."""
+        """Stop listening, close all connections and cancel requests in progress."""
         if self.server:
             self.server.stop()
             await self.server.close_all_connections()
-        for task in list(self.tasks):
-            task.cancel()
+        for handler in list(self.handlers):
+            handler.cancel()
 
     def applied(self, task: str) -> list[TargetRequest]:
-        """Return the requests of a task that were executed."""
+        """Return the executed requests of a task, including repeated ones."""
         return [request for request in self.requests if request.task == task and request.applied]
 
-    def _received(self, request: HTTPServerRequest) -> None:
-        task = asyncio.ensure_future(self._take(request))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def _on_request(self, request: HTTPServerRequest) -> None:
+        handler = asyncio.ensure_future(self._handle(request))
+        self.handlers.add(handler)
+        handler.add_done_callback(self.handlers.discard)
 
-    async def _take(self, request: HTTPServerRequest) -> None:
+    async def _handle(self, request: HTTPServerRequest) -> None:
         if self.delay:
             await asyncio.sleep(self.delay)
         if self.mode is Mode.HANG:
@@ -97,15 +99,15 @@
         if self.mode is Mode.FAIL:
             self._answer(request, HTTPStatus.INTERNAL_SERVER_ERROR, b"", {})
             return
-        taken = self._record(request)
-        if not taken.applied:
-            highest = f"{taken.task} {self.highest_tokens[taken.task]}"
+        recorded = self._record(request)
+        if not recorded.applied:
+            highest = f"{recorded.task} {self.highest_tokens[recorded.task]}"
             self._answer(request, HTTPStatus.PRECONDITION_FAILED, b"", {FENCING_HEADER: highest})
             return
-        self.highest_tokens[taken.task] = max(self.highest_tokens[taken.task], taken.fencing_token)
-        self.bodies.setdefault(taken.key, request.body)
+        self.highest_tokens[recorded.task] = max(self.highest_tokens[recorded.task], recorded.fencing_token)
+        self.bodies.setdefault(recorded.key, request.body)
         if self.mode is not Mode.LOSE:
-            body = orjson.dumps({"taken": taken.key, "again": taken.repeated})
+            body = orjson.dumps({"taken": recorded.key, "again": recorded.repeated})
             self._answer(request, HTTPStatus.OK, body, {})
 
     def _record(self, request: HTTPServerRequest) -> TargetRequest:
@@ -114,17 +116,17 @@
         token = int(number) if number.isdigit() else 0
         applied = not self.checks_tokens or token >= self.highest_tokens[task]
         repeated = key in self.bodies
-        changed = repeated and self.bodies[key] != request.body
-        taken = TargetRequest(time.time(), task, token, key, request.body, applied, repeated, changed)
-        self.requests.append(taken)
-        return taken
+        body_changed = repeated and self.bodies[key] != request.body
+        recorded = TargetRequest(time.time(), task, token, key, request.body, applied, repeated, body_changed)
+        self.requests.append(recorded)
+        return recorded
 
     def _answer(
-        self, request: HTTPServerRequest, status: HTTPStatus, body: bytes, fields: Mapping[str, str]
+        self, request: HTTPServerRequest, status: HTTPStatus, body: bytes, extra_headers: Mapping[str, str]
     ) -> None:
         connection = request.connection
         if connection is None or connection.stream.closed():  # type: ignore[attr-defined]
             return
-        headers = HTTPHeaders({"Content-Length": str(len(body)), **fields})
+        headers = HTTPHeaders({"Content-Length": str(len(body)), **extra_headers})
         connection.write_headers(ResponseStartLine("HTTP/1.1", status, status.phrase), headers, body)
         connection.finish()
--- a/shelfhaven/lab/schedules.py
+++ b/shelfhaven/lab/schedules.py
@@ -1,6 +1,6 @@
-"""Random schedules of faults: many are run, and one that fails is shrunk.
+"""Runs random fault schedules, and shrinks those that fail to a minimal failing schedule.
 
-Owns the search alone; it does not depend on the kinds of faults.
+This module is independent of the kinds of faults and of the system that they disturb.
 """
 
 from __future__ import annotations
@@ -14,40 +14,44 @@
 
 
 def shrink(faults: list[T], fails: Callable[[list[T]], bool]) -> list[T]:
-    """Return a smaller schedule that still fails: sequences of faults are left out, halves first."""
-    size = max(1, len(faults) // 2)
+    """Return a smaller schedule that still fails, by removing ever shorter runs of faults, halves first."""
+    chunk_size = max(1, len(faults) // 2)
     while True:
         start = 0
         while start < len(faults):
-            fewer = faults[:start] + faults[start + size :]
-            if fewer and fails(fewer):
-                faults = fewer
+            remaining = faults[:start] + faults[start + chunk_size :]
+            if remaining and fails(remaining):
+                faults = remaining
             else:
-                start += size
-        if size == 1:
+                start += chunk_size
+        if chunk_size == 1:
             return faults
-        size = max(1, size // 2)
+        chunk_size = max(1, chunk_size // 2)
 
 
 def run_seeds(
     seeds: Iterable[int], draw: Callable[[int], list[T]], find_breaches: Callable[[int, list[T]], list[str]]
 ) -> int:
-    """Run the schedule of each seed, with progress; print each that fails, shrunk; return an exit code."""
+    """Run the schedule of each seed, print the failing ones after shrinking them, and return an exit code.
+
+    `draw` generates the schedule of a seed; `find_breaches` runs it and returns the breaches of invariants.
+    Progress is shown if standard error is a terminal.
+    """
 
     def fails(seed: int, faults: list[T]) -> bool:
-        """Whether a schedule still fails."""
+        """Whether the schedule causes a breach."""
         return bool(find_breaches(seed, faults))
 
-    played = failed = 0
+    completed = failed = 0
     for seed in seeds:
         faults = draw(seed)
-        played += 1
+        completed += 1
         if breaches := find_breaches(seed, faults):
             failed += 1
             print(f"seed {seed}: {breaches[0]}")
             for fault in shrink(faults, partial(fails, seed)):
                 print(f"    {fault}")
         if sys.stderr.isatty():
-            print(f"\r{played} played, {failed} failed", end="", file=sys.stderr)
-    print(f"{played} schedules, {failed} failed")
+            print(f"\r{completed} completed, {failed} failed", end="", file=sys.stderr)
+    print(f"{completed} schedules, {failed} failed")
     return 1 if failed else 0
--- a/shelfhaven/lab/simulated_store.py
+++ b/shelfhaven/lab/simulated_store.py
@@ -1,6 +1,6 @@
-"""A consensus store in virtual time: the real replicated document, and leases by the simulated clock.
+"""A consensus store in virtual time: the real replicated document, and simulated leases.
 
-Owns the document and the expiry of leases. It knows no nodes: a callback gets every change.
+Leases expire by the virtual clock. The store does not know the nodes; it reports each change to a callback.
 """
 
 from __future__ import annotations
@@ -25,60 +25,60 @@
 
 
 class SimulatedStore:
-    """The store; `changed` is called with the keys of each change, in order."""
+    """The simulated store; `on_change` is called with the sorted keys of each change."""
 
-    def __init__(self, clock: Virtual, random: Random, changed: Callable[[list[str]], None]) -> None:
+    def __init__(self, clock: Virtual, random: Random, on_change: Callable[[list[str]], None]) -> None:
         self.clock = clock
         self.random = random
-        self.changed = changed
+        self.on_change = on_change
         self.document = Document()
-        self.lease_ends: dict[int, float] = {}
-        self.lease_fraction = 1.0  # of its seconds that a lease really lasts
+        self.expiry_times: dict[int, float] = {}
+        self.lease_fraction = 1.0  # of its TTL after which a lease really expires
 
-    def forget(self) -> None:
-        """Lose everything, as if an empty store replaced it."""
+    def replace_with_empty(self) -> None:
+        """Lose all data, as if an empty store had replaced this one."""
         self.document = Document()
-        self.lease_ends.clear()
+        self.expiry_times.clear()
 
     def items(self, keys: Sequence[str]) -> dict[str, Entry | None]:
-        """Return these records as they are."""
+        """Return the current records with these keys, None for a missing one."""
         return {key: self.document.items.get(key) for key in keys}
 
     def read(self, keys: Sequence[str]) -> Snapshot:
-        """Return a snapshot of these records."""
+        """Return a snapshot of the records with these keys."""
         return Snapshot(self.document.revision, self.items(keys))
 
     def list_prefix(self, prefix: str) -> Snapshot:
-        """Return a snapshot of all records whose keys begin so."""
+        """Return a snapshot of all records whose keys start with a prefix."""
         items = {key: entry for key, entry in self.document.items.items() if key.startswith(prefix)}
         return Snapshot(self.document.revision, dict(items))
 
     def changes_since(self, keys: Sequence[str], revision: int) -> Snapshot | None:
-        """Return the records that have changed since a revision; None if the store has forgotten that far."""
+        """Return the records changed since a revision, or None if the history does not go back that far."""
         changed = self.document.changes_since(keys, revision)
         return None if changed is None else Snapshot(self.document.revision, changed)
 
     def compare_and_set(self, change: CompareAndSet) -> CompareAndSetResult:
-        """Compare and set."""
+        """Apply a compare-and-set write."""
         result = self._apply(change)
         return CompareAndSetResult(result.applied, result.revision, result.current)
 
-    def grant_lease(self, seconds: float) -> GrantedLease:
-        """Grant a lease."""
-        result = self._apply(GrantLease(seconds, self.random.getrandbits(LEASE_ID_BITS)))
-        self._schedule_end(result.lease_id, seconds)
+    def grant_lease(self, ttl: float) -> GrantedLease:
+        """Grant a lease with a TTL in seconds."""
+        result = self._apply(GrantLease(ttl, self.random.getrandbits(LEASE_ID_BITS)))
+        self._schedule_expiry(result.lease_id, ttl)
         return GrantedLease(result.lease_id, result.ttl)
 
     def renew_lease(self, lease_id: int) -> float | None:
-        """Renew a lease; return its seconds, None for an unknown one."""
+        """Renew a lease; return its TTL, or None for an unknown lease."""
         result = self._apply(KeepLeaseAlive(lease_id))
         if not result.applied:
             return None
-        self._schedule_end(lease_id, result.ttl)
+        self._schedule_expiry(lease_id, result.ttl)
         return result.ttl
 
     def revoke_lease(self, lease_id: int) -> None:
-        """End a lease."""
+        """Revoke a lease."""
         self._apply(RevokeLease(lease_id))
 
     def _apply(self, command: Command) -> CommandResult:
@@ -88,15 +88,15 @@
         if self.document.revision != revision_before:
             items = self.document.items
             keys = {key for key in {*items_before, *items} if items_before.get(key) != items.get(key)}
-            self.changed(sorted(keys))
+            self.on_change(sorted(keys))
         return result
 
-    def _schedule_end(self, lease_id: int, seconds: float) -> None:
-        end = self.clock.now + seconds * self.lease_fraction
-        self.lease_ends[lease_id] = end
-        self.clock.at(end, partial(self._expire, lease_id, end))
+    def _schedule_expiry(self, lease_id: int, ttl: float) -> None:
+        expires_at = self.clock.now + ttl * self.lease_fraction
+        self.expiry_times[lease_id] = expires_at
+        self.clock.at(expires_at, partial(self._expire, lease_id, expires_at))
 
-    def _expire(self, lease_id: int, end: float) -> None:
+    def _expire(self, lease_id: int, expires_at: float) -> None:
         lease = self.document.leases.get(lease_id)
-        if lease and self.lease_ends.get(lease_id) == end:
+        if lease and self.expiry_times.get(lease_id) == expires_at:
             self._apply(ExpireLease(lease_id, lease.beat))
--- a/tests/election/test_lease_model.py
+++ b/tests/election/test_lease_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from shelfhaven.lab.lease_model import FIRST, Mistake, explore, steps
+from shelfhaven.lab.lease_model import INITIAL_WORLD, Mistake, explore, steps
 
 
 def test_the_invariants_hold_in_every_reachable_state() -> None:
@@ -17,8 +17,8 @@
 @pytest.mark.parametrize("mistake", Mistake)
 def test_a_mistake_is_found_with_a_trace_that_can_be_replayed(mistake: Mistake) -> None:
     result = explore(mistake)
-    assert result.breach == ("order" if mistake is Mistake.NO_FENCE else "one believer")
-    world = FIRST
+    assert result.breach == ("token order" if mistake is Mistake.NO_FENCING else "single leader")
+    world = INITIAL_WORLD
     for name in result.trace:
         next_worlds = [step.world for step in steps(world, mistake) if step.name == name]
         assert next_worlds
