--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -20,7 +20,7 @@
 from shelfhaven.election.settings import ElectorSettings
 from shelfhaven.lab import election_checker
 from shelfhaven.lab.election_faults import QUICK_SETTINGS, draw_schedule, find_breaches
-from shelfhaven.lab.election_fleet import LEASE, ElectionFleet, election_fleet, soon
+from shelfhaven.lab.election_fleet import LEASE_DURATION, ElectionFleet, election_fleet, soon
 from shelfhaven.lab.election_simulation import ElectionSimulation
 from shelfhaven.lab.etcd_stub import Mode
 from shelfhaven.lab.fleet import FleetNode
@@ -61,7 +61,7 @@
 async def stall(elections: ElectionFleet, leader: FleetNode) -> None:
     """The leader's process is suspended for twice its lease."""
     elections.fleet.suspend(leader)
-    asyncio.get_running_loop().call_later(2 * LEASE, elections.fleet.resume, leader)
+    asyncio.get_running_loop().call_later(2 * LEASE_DURATION, elections.fleet.resume, leader)
 
 
 async def cut(elections: ElectionFleet, leader: FleetNode) -> None:
@@ -69,7 +69,7 @@
     net = elections.fleet.net
     others = ["store", *(node.name for node in elections.nodes if node is not leader)]
     net.cut([leader.name], others)
-    asyncio.get_running_loop().call_later(2 * LEASE, net.cut, [leader.name], others, None)
+    asyncio.get_running_loop().call_later(2 * LEASE_DURATION, net.cut, [leader.name], others, None)
 
 
 FAULTS: dict[str, Fault] = {"orderly": orderly, "crash": crash, "stall": stall, "cut": cut}
@@ -78,7 +78,7 @@
 async def leaderless_figures(engine: str, name: str, rounds: int) -> Figures:
     """Times without a leader over the lease, by when each node believed that it led."""
     gaps: list[float] = []
-    async with election_fleet(engine, NODES, faultless=False) as elections:
+    async with election_fleet(engine, NODES, check_history=False) as elections:
         await elections.fleet.start_all()
         leader = await elections.wait_for_leader(timeout=LEADER_TIMEOUT)
         for _ in range(rounds):
@@ -89,8 +89,8 @@
         actions = elections.actions()
         breaches = election_checker.find_breaches(elections.fleet.whole_history(), actions, 0.0)
         return {
-            "gap_median": round(statistics.median(gaps) / LEASE, 2),
-            "gap_worst": round(max(gaps) / LEASE, 2),
+            "gap_median": round(statistics.median(gaps) / LEASE_DURATION, 2),
+            "gap_worst": round(max(gaps) / LEASE_DURATION, 2),
             "late_actions_fenced": election_checker.count_rejected(actions),
             "breaches": breaches[:3],
             "overlaps": len(election_checker.find_overlaps(elections.leaderships(), 0.0)),
@@ -111,7 +111,7 @@
     await fault(elections, leader)
     successor = await elections.wait_for_leader(other_than=leader, timeout=LEADER_TIMEOUT)
     gap = max(_gaps(elections)[earlier_gaps:], default=0.0)
-    await asyncio.sleep(max(0.0, 2 * LEASE + RECOVERY_MARGIN - (time.time() - faulted_at)))
+    await asyncio.sleep(max(0.0, 2 * LEASE_DURATION + RECOVERY_MARGIN - (time.time() - faulted_at)))
     if not leader.running:
         await elections.fleet.start(leader)
         await _up(leader)
@@ -126,7 +126,9 @@
     """Resident MB of a node by engine: with a membership alone, and with singleton tasks on each."""
     figures: Figures = {}
     for engine in ("none", "etcd", "nodes"):
-        async with election_fleet("etcd" if engine == "none" else engine, 3, faultless=False) as elections:
+        async with election_fleet(
+            "etcd" if engine == "none" else engine, 3, check_history=False
+        ) as elections:
             if engine == "none":
                 elections.fleet.values["singleton_tasks"] = ""
             await elections.fleet.start_all()
@@ -141,7 +143,7 @@
 
 async def served_without_store(seconds: float) -> float:
     """Requests in time while the store is down, over those while it is up."""
-    async with election_fleet("etcd", 3, faultless=False) as elections:
+    async with election_fleet("etcd", 3, check_history=False) as elections:
         await elections.fleet.start_all()
         await elections.wait_for_leader()
         assert elections.store
@@ -227,7 +229,7 @@
 
 async def measure(quick: bool) -> Figures:
     """All figures, with progress."""
-    figures: Figures = {"lease_s": LEASE}
+    figures: Figures = {"lease_s": LEASE_DURATION}
     announce("requests by size, in virtual time")
     figures["store"] = requests_by_size(QUICK_SIZES if quick else SIZES)
     figures["moves_on_loss"] = moves_on_loss(FleetSize(50, 100) if quick else FleetSize(100, 200))
--- a/shelfhaven/lab/election_demo.py
+++ b/shelfhaven/lab/election_demo.py
@@ -11,7 +11,7 @@
 import click
 
 from shelfhaven.lab import election_checker
-from shelfhaven.lab.election_fleet import LEASE, ElectionFleet, election_fleet, soon
+from shelfhaven.lab.election_fleet import LEASE_DURATION, ElectionFleet, election_fleet, soon
 from shelfhaven.lab.fault_links import Rule
 from shelfhaven.lab.fleet import FleetNode
 
@@ -26,7 +26,7 @@
 
 
 async def _run(started_at: float) -> int:
-    async with election_fleet("nodes", 3, faultless=False) as elections:
+    async with election_fleet("nodes", 3, check_history=False) as elections:
         await _start_behind_gate(elections)
         _echo(
             started_at, "three nodes start and form the consensus store; the singleton task is to send a file"
@@ -59,7 +59,7 @@
     fleet.suspend(first)
     _echo(
         started_at,
-        f"{first.name} is suspended (SIGSTOP) with a batch in transit; its lease lasts {LEASE:g} s",
+        f"{first.name} is suspended (SIGSTOP) with a batch in transit; its lease lasts {LEASE_DURATION:g} s",
     )
     await asyncio.sleep(0.2)
     fleet.net.set("leaders", "target", None)
@@ -82,7 +82,7 @@
     """Print a summary and every breach of an invariant; return the exit code."""
     breaches = election_checker.find_breaches(elections.fleet.whole_history(), elections.actions(), 0.0)
     rejected = election_checker.count_rejected(elections.actions())
-    order_text = "in the order of the file" if elections.in_order() else "out of order"
+    order_text = "in the order of the file" if elections.batches_in_order() else "out of order"
     gaps = election_checker.leaderless_gaps(elections.leaderships(), "settle")
     sent = _batches_sent(elections)
     _echo(
@@ -92,7 +92,7 @@
     _echo(started_at, f"without a leader for {', '.join(f'{gap:.2f}' for gap in gaps)} s")
     for breach in breaches:
         _echo(started_at, f"breach: {breach}")
-    return 1 if breaches or not elections.in_order() else 0
+    return 1 if breaches or not elections.batches_in_order() else 0
 
 
 def _batches_sent(elections: ElectionFleet) -> int:
--- a/shelfhaven/lab/election_fleet.py
+++ b/shelfhaven/lab/election_fleet.py
@@ -1,6 +1,6 @@
 """Fleets of real processes that elect leaders: their operator's files, consensus store, target and checks.
 
-The processes and sockets belong to `fleet.py`, `fenced_store.py` and `etcd_stub.py`. A node is influenced
+The processes and sockets belong to `fleet.py`, `target_stub.py` and `etcd_stub.py`. A node is influenced
 only through its operator's file, its gates and signals.
 """
 
@@ -13,19 +13,19 @@
 from shelfhaven.lab import election_checker
 from shelfhaven.lab.backend_stub import BackendStub
 from shelfhaven.lab.etcd_stub import EtcdStub
-from shelfhaven.lab.fenced_store import FencedStore
 from shelfhaven.lab.fleet import Fleet, FleetNode, fleet
 from shelfhaven.lab.ports import reserved_port
+from shelfhaven.lab.target_stub import TargetStub
 from shelfhaven.lab.waiting import wait_until
 
-LEASE = 2.0  # seconds that a leader's lease lasts
+LEASE_DURATION = 2.0  # seconds that a leader's lease lasts
 CANDIDATE_DELAY = 0.15  # seconds
 MEMBERS = 3  # of the quorum, if the nodes are the consensus store
 LINES = 20_000  # of the file that the tasks send
-USUAL_TIMEOUT = 45.0  # seconds within which a condition has to become true
+DEFAULT_TIMEOUT = 45.0  # seconds within which a condition has to become true
 CHECK_INTERVAL = 0.02  # seconds between two evaluations of a condition
 # Membership settings with short intervals, for the operator's file.
-FAST = """asks 60
+FAST_MEMBERSHIP = """asks 60
     expected 6
     every "200ms"
     stale "2s"
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, store: EtcdStub | None, backend: BackendStub, target: FencedStore, processes: Fleet
+        self, store: EtcdStub | None, backend: BackendStub, target: TargetStub, processes: Fleet
     ) -> None:
         self.store = store
         self.backend = backend
@@ -66,7 +66,7 @@
         self.target_options = ""
         self.other_tasks = ""
         self.election_settings = (
-            f'lease="{LEASE:g}s" margin="200ms" step="{CANDIDATE_DELAY:g}s" settle="60s" dead="2s"'
+            f'lease="{LEASE_DURATION:g}s" margin="200ms" step="{CANDIDATE_DELAY:g}s" settle="60s" dead="2s"'
         )
         self.file_path = processes.folder / "lines"
         self.file_path.write_text("".join(f"line {number}\n" for number in range(LINES)))
@@ -140,7 +140,7 @@
         return self.fleet.nodes[max(leading)[1]] if leading else None
 
     async def wait_for_leader(
-        self, task: str = "settle", other_than: FleetNode | None = None, timeout: float = USUAL_TIMEOUT
+        self, task: str = "settle", other_than: FleetNode | None = None, timeout: float = DEFAULT_TIMEOUT
     ) -> FleetNode:
         """Wait until a node leads a task and the target has executed an action of it; return the node."""
         started_at = time.time()
@@ -170,7 +170,7 @@
         """Return how many actions of a task the target has executed since a Unix time."""
         return sum(request.at >= at for request in self.target.applied(task))
 
-    def in_order(self) -> bool:
+    def batches_in_order(self) -> bool:
         """Whether the batches of each task first arrived in the order of the file, with none left out."""
         for task in self.tasks:
             requests = [request for request in self.target.applied(task) if not request.repeated]
@@ -180,7 +180,7 @@
         return True
 
 
-async def soon(condition: Callable[[], object], timeout: float = USUAL_TIMEOUT) -> None:
+async def soon(condition: Callable[[], object], timeout: float = DEFAULT_TIMEOUT) -> None:
     """Wait until a condition is true; raise TimeoutError if it is not within the timeout."""
     await wait_until(condition, timeout, CHECK_INTERVAL)
 
@@ -190,26 +190,28 @@
     engine: str,
     count: int = 5,
     tolerance: float = 0.0,
-    faultless: bool = True,
+    check_history: bool = True,
     checks_tokens: bool = True,
 ) -> AsyncIterator[ElectionFleet]:
     """Start the store, the backend and the target, and prepare a fleet of `count` nodes.
 
-    If `faultless` is set, the invariants are checked at the end; `tolerance` is the time in seconds for which
-    two nodes may both believe that they lead a task.
+    If `check_history` is set, the invariants are checked at the end; `tolerance` is the time in seconds for
+    which two nodes may both believe that they lead a task.
     """
     store = EtcdStub(port_count=3) if engine == "etcd" else None
     backend = BackendStub("v", [], 16, 0.005)
-    target = FencedStore(checks_tokens)
+    target = TargetStub(checks_tokens)
     if store:
         await store.start()
     await backend.start()
     await target.start()
     try:
-        async with fleet(count, store.port if store else 0, [backend.address], more=FAST) as processes:
+        async with fleet(
+            count, store.port if store else 0, [backend.address], more=FAST_MEMBERSHIP
+        ) as processes:
             elections = ElectionFleet(store, backend, target, processes)
             yield elections
-            if faultless:
+            if check_history:
                 _check_invariants(processes, elections, tolerance)
     finally:
         backend.stop()
--- a/shelfhaven/lab/election_scenario.py
+++ b/shelfhaven/lab/election_scenario.py
@@ -116,7 +116,7 @@
 
 async def find_breaches(faults: Sequence[Fault], nodes: int, engine: str = "etcd") -> list[str]:
     """Run a schedule on a number of processes and describe the breaches of invariants."""
-    async with election_fleet(engine, nodes, faultless=False) as elections:
+    async with election_fleet(engine, nodes, check_history=False) as elections:
         elections.tasks = [f"duty{number}" for number in range(TASKS)]
         elections.send_interval = "100ms"
         await elections.fleet.start_all()
@@ -130,7 +130,7 @@
             leaderless = sorted(set(elections.tasks) - set(elections.tasks_led()))
             found.append(f"{leaderless} without a leader {RECOVERY_TIME:.0f} s after the last fault")
         found += election_checker.find_breaches(elections.fleet.whole_history(), elections.actions(), 0.0)
-        if not elections.in_order():
+        if not elections.batches_in_order():
             found.append("batches sent out of order or left out")
         return found
 
--- a/shelfhaven/lab/election_simulation.py
+++ b/shelfhaven/lab/election_simulation.py
@@ -23,7 +23,7 @@
 from shelfhaven.election.records import HOLDER_PREFIX, task_name
 from shelfhaven.election.settings import ElectorSettings
 from shelfhaven.lab.simulated_store import SimulatedStore
-from shelfhaven.lab.virtual_clock import Virtual
+from shelfhaven.lab.virtual_clock import VirtualClock
 
 MESSAGE_DELAY = (0.0005, 0.004)  # seconds, minimum and maximum
 REQUEST_TIMEOUT = 1.0  # seconds that a node waits for an answer from the store
@@ -96,7 +96,7 @@
         return self.elector.time_to_act(self.clock(now), task, fencing_token) > 0
 
 
-class ElectionSimulation(Virtual):
+class ElectionSimulation(VirtualClock):
     """Simulated nodes, a consensus store and a target on one virtual clock."""
 
     calls_per_check = 64
--- a/shelfhaven/lab/etcd_keyspace.py
+++ b/shelfhaven/lab/etcd_keyspace.py
@@ -40,7 +40,7 @@
     """The keys, leases and history of one store; a subclass may override `changed` and `reset`."""
 
     def __init__(self) -> None:
-        self.cluster = FIRST_CLUSTER_ID
+        self.cluster_id = FIRST_CLUSTER_ID
         self.revision = 1
         self.kvs: dict[bytes, pb.KeyValue] = {}
         self.leases: dict[int, Lease] = {}
@@ -62,7 +62,7 @@
     def header(self) -> pb.ResponseHeader:
         """Return the header that every response carries."""
         return pb.ResponseHeader(
-            cluster_id=self.cluster, member_id=1, revision=self.revision, raft_term=RAFT_TERM
+            cluster_id=self.cluster_id, member_id=1, revision=self.revision, raft_term=RAFT_TERM
         )
 
     # Keys
@@ -154,9 +154,9 @@
         self.compacted = self.revision
         self.history.clear()
 
-    def forget(self) -> None:
+    def replace_with_empty(self) -> None:
         """Become a different, empty store: another cluster ID, no keys, no leases."""
-        self.cluster += 1
+        self.cluster_id += 1
         self.revision = 1
         self.kvs.clear()
         self.leases.clear()
--- a/shelfhaven/lab/etcd_stub.py
+++ b/shelfhaven/lab/etcd_stub.py
@@ -75,7 +75,7 @@
         self.mode = Mode.SERVE
         self.port_modes = [Mode.SERVE] * port_count  # mode of each port, in addition to `mode`
         self.delay = 0.0  # seconds before each answer
-        self.advice = 0.0  # seconds of Retry-After in rejections, 0 for none
+        self.retry_after = 0.0  # seconds of Retry-After in rejections, 0 for none
         self.lost_answers: Counter[str] = Counter()  # by method: answers to lose after the execution
         self.answer_delays: dict[str, float] = {}  # by method: seconds between execution and answer
         self.lease_fraction = 1.0  # fraction of its TTL after which a lease really expires
@@ -207,7 +207,7 @@
         if Mode.HANG in modes:
             await asyncio.sleep(HANG_S)
         if Mode.REJECT in modes:
-            metadata = ((PUSHBACK, str(round(self.advice * 1000))),) if self.advice else ()
+            metadata = ((PUSHBACK, str(round(self.retry_after * 1000))),) if self.retry_after else ()
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "etcdserver: too many requests", metadata)
         if Mode.LEADERLESS in modes:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "etcdserver: no leader")
--- a/shelfhaven/lab/failover_fleet.py
+++ b/shelfhaven/lab/failover_fleet.py
@@ -15,7 +15,7 @@
 from shelfhaven.lab import failover_checker
 from shelfhaven.lab.backend_stub import BackendStub, ExecutedRun
 from shelfhaven.lab.callers import Reply
-from shelfhaven.lab.election_fleet import FAST, soon
+from shelfhaven.lab.election_fleet import FAST_MEMBERSHIP, soon
 from shelfhaven.lab.etcd_stub import EtcdStub
 from shelfhaven.lab.fault_links import Rule
 from shelfhaven.lab.fleet import FileValues, Fleet, FleetNode, LogLine, fleet
@@ -271,7 +271,7 @@
     await store.start()
     for backend in backends.values():
         await backend.start()
-    values: FileValues = {"datagrams": True, **changes, "more": f"{FAST}{changes.get('more', '')}"}
+    values: FileValues = {"datagrams": True, **changes, "more": f"{FAST_MEMBERSHIP}{changes.get('more', '')}"}
     servers = [backend.address for backend in backends.values()]
     count = len(regions)
     made: World | None = None
--- a/shelfhaven/lab/failover_simulation.py
+++ b/shelfhaven/lab/failover_simulation.py
@@ -30,7 +30,7 @@
     TrafficSample,
     ZoneRouting,
 )
-from shelfhaven.lab.virtual_clock import Virtual
+from shelfhaven.lab.virtual_clock import VirtualClock
 from shelfhaven.membership.signed_datagram import seal
 from shelfhaven.routing.hash_spread import hash_fraction
 
@@ -73,7 +73,7 @@
     return False
 
 
-class FailoverSimulation(Virtual):
+class FailoverSimulation(VirtualClock):
     """Nodes by zone, routers, one store."""
 
     calls_per_check = 64
--- a/shelfhaven/lab/membership_simulation.py
+++ b/shelfhaven/lab/membership_simulation.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from shelfhaven.lab.simulated_list_service import SimulatedListService
-from shelfhaven.lab.virtual_clock import Virtual
+from shelfhaven.lab.virtual_clock import VirtualClock
 from shelfhaven.membership.list_version import Endpoint, ListSnapshot
 from shelfhaven.membership.member import Member, MemberStart
 from shelfhaven.membership.messages import (
@@ -96,7 +96,7 @@
     return None
 
 
-class MembershipSimulation(Virtual):
+class MembershipSimulation(VirtualClock):
     """Nodes, links and the list service on one clock."""
 
     def __init__(
--- a/shelfhaven/lab/simulated_store.py
+++ b/shelfhaven/lab/simulated_store.py
@@ -19,7 +19,7 @@
 )
 from shelfhaven.consensus.state_machine import Document
 from shelfhaven.consensus.store import CompareAndSet, CompareAndSetResult, Entry, GrantedLease, Snapshot
-from shelfhaven.lab.virtual_clock import Virtual
+from shelfhaven.lab.virtual_clock import VirtualClock
 
 LEASE_ID_BITS = 62
 
@@ -27,7 +27,7 @@
 class SimulatedStore:
     """The simulated store; `on_change` is called with the sorted keys of each change."""
 
-    def __init__(self, clock: Virtual, random: Random, on_change: Callable[[list[str]], None]) -> None:
+    def __init__(self, clock: VirtualClock, random: Random, on_change: Callable[[list[str]], None]) -> None:
         self.clock = clock
         self.random = random
         self.on_change = on_change
--- a/shelfhaven/lab/fenced_store.py
+++ b/shelfhaven/lab/target_stub.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(eq=False)
-class FencedStore:
+class TargetStub:
     """The service.
 
     Unless `checks_tokens` is set, it also executes requests whose token is lower than an earlier one.
--- a/shelfhaven/lab/virtual_clock.py
+++ b/shelfhaven/lab/virtual_clock.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 
-class Virtual:
+class VirtualClock:
     """The clock and its queue of scheduled callbacks.
 
     `run` evaluates its `done` condition once per `calls_per_check` callbacks.
--- a/tests/consensus/test_etcd_store.py
+++ b/tests/consensus/test_etcd_store.py
@@ -22,7 +22,7 @@
             await store.compare_and_set(conditional_put("a", b"1"))
         snapshot = await store.read(["a"])
         assert snapshot.items["a"], "the change was applied although the response was lost"
-        stub.mode, stub.advice = Mode.REJECT, 7.0
+        stub.mode, stub.retry_after = Mode.REJECT, 7.0
         with pytest.raises(NotAppliedError) as rejected:
             await store.compare_and_set(conditional_put("b", b"1"))
         assert rejected.value.retry_after == 7.0
@@ -67,7 +67,7 @@
         await stub.start()
         store = EtcdStore([stub.address], "/agreed/", 1.0, LOG)
         first = await store.compare_and_set(conditional_put("a", b"1"))
-        stub.forget()
+        stub.replace_with_empty()
         with pytest.raises(OutcomeUnknownError):
             await store.compare_and_set(conditional_put("b", b"1"))
         snapshot = await store.read(["a", "b"])
--- a/tests/election/test_fenced_target.py
+++ b/tests/election/test_fenced_target.py
@@ -8,13 +8,13 @@
 
 from shelfhaven.election.fenced_target import FENCING_HEADER, FencedTarget, TargetError
 from shelfhaven.election.lease import FencedOffError, LeaseUncertainError, Permit
-from shelfhaven.lab.fenced_store import FencedStore, Mode
+from shelfhaven.lab.target_stub import Mode, TargetStub
 from tests.election.helpers import run_with_timeout
 
 
 def test_a_target_rejects_lower_tokens_and_reports_the_highest() -> None:
     async def check() -> None:
-        service = FencedStore()
+        service = TargetStub()
         await service.start()
         target = FencedTarget(service.url, 0.5)
         time_left = [10.0]
--- a/tests/election/test_fleet.py
+++ b/tests/election/test_fleet.py
@@ -16,9 +16,9 @@
 from shelfhaven.lab import election_checker, election_scenario
 from shelfhaven.lab.backend_stub import StubMode
 from shelfhaven.lab.election_faults import draw_schedule
-from shelfhaven.lab.election_fleet import LEASE, election_fleet, soon
+from shelfhaven.lab.election_fleet import LEASE_DURATION, election_fleet, soon
 from shelfhaven.lab.fault_links import Rule
-from shelfhaven.lab.fenced_store import Mode as TargetMode
+from shelfhaven.lab.target_stub import Mode as TargetMode
 from tests.fleets import play
 
 ENGINES = ("etcd", "nodes")
@@ -35,7 +35,7 @@
             second = await elections.wait_for_leader(other_than=first)
             gaps = election_checker.leaderless_gaps(elections.leaderships(), "settle")
             # A member that leaves may have been the Raft leader; then another must be elected first.
-            max_gap = LEASE if engine == "etcd" else 3 * LEASE
+            max_gap = LEASE_DURATION if engine == "etcd" else 3 * LEASE_DURATION
             assert max(gaps) < max_gap, "the hand-over did not wait for the lease to expire"
             await soon(lambda: len(elections.target.applied("settle")) > 30)
             if engine == "nodes":  # a majority of the members must remain
@@ -43,7 +43,7 @@
                 await soon(lambda: first.events("phase"))
             await elections.fleet.kill(second)
             await elections.wait_for_leader(other_than=second)
-            assert elections.in_order(), "each leader continued where the previous one stopped"
+            assert elections.batches_in_order(), "each leader continued where the previous one stopped"
 
     play(check)
 
@@ -131,7 +131,7 @@
             await soon(
                 lambda: elections.effects_since(began) > 0 and elections.leader() not in (None, first, second)
             )
-            assert elections.in_order()
+            assert elections.batches_in_order()
 
     play(check)
 
@@ -170,7 +170,7 @@
                 elections.target.mode = TargetMode.SERVE
                 began = time.time()
                 await soon(lambda began=began: elections.effects_since(began) > 3)  # type: ignore[misc]
-            assert elections.in_order()
+            assert elections.batches_in_order()
 
     play(check)
 
@@ -250,7 +250,7 @@
             assert not elections.effects_since(began)
             assert (await run_command("give", "settle", "--yes"))[1] == 0
             await elections.wait_for_leader()
-            assert elections.in_order()
+            assert elections.batches_in_order()
 
     play(check)
 
--- a/tests/election/test_fleet_store_faults.py
+++ b/tests/election/test_fleet_store_faults.py
@@ -14,7 +14,7 @@
 import pytest
 
 from shelfhaven.lab import election_checker
-from shelfhaven.lab.election_fleet import LEASE, election_fleet, soon
+from shelfhaven.lab.election_fleet import LEASE_DURATION, election_fleet, soon
 from shelfhaven.lab.etcd_stub import EtcdStub, Mode
 from shelfhaven.lab.fault_links import Rule
 from tests.fleets import play
@@ -92,7 +92,7 @@
             first = await elections.wait_for_leader()
             elections.store.lost_answers["LeaseKeepAlive"] = 2
             elections.store.lost_answers["LeaseGrant"] = 1
-            await asyncio.sleep(LEASE)
+            await asyncio.sleep(LEASE_DURATION)
             first = await elections.wait_for_leader()
             elections.store.mode = Mode.LEADERLESS
             await soon(lambda: elections.leader() is None)
@@ -111,19 +111,19 @@
 
 def test_leases_that_expire_early_and_a_store_that_loses_its_data_are_survived() -> None:
     async def check() -> None:
-        async with election_fleet("etcd", tolerance=LEASE) as elections:
+        async with election_fleet("etcd", tolerance=LEASE_DURATION) as elections:
             assert elections.store
             await elections.fleet.start_all()
             await elections.wait_for_leader()
             elections.store.lease_fraction = 0.25  # leases expire before they are renewed
-            await asyncio.sleep(2 * LEASE)
+            await asyncio.sleep(2 * LEASE_DURATION)
             elections.store.lease_fraction = 1.0
             elections.store.compact()
             elections.store.end_watches()
             await elections.wait_for_leader()
-            elections.store.forget()  # like a new store, without any fencing token
+            elections.store.replace_with_empty()  # like a new store, without any fencing token
             began = time.time()
-            await soon(lambda: elections.effects_since(began + LEASE) > 5)
+            await soon(lambda: elections.effects_since(began + LEASE_DURATION) > 5)
             tokens = [effect.fencing_token for effect in elections.target.applied("settle")]
             assert tokens == sorted(tokens), "new tokens are above those that the target has seen"
 
@@ -169,7 +169,7 @@
             await elections.fleet.start_all()
             await elections.wait_for_leader()
             assert elections.target.highest_tokens["settle"] > highest
-            assert elections.in_order(), "the checkpoint was preserved"
+            assert elections.batches_in_order(), "the checkpoint was preserved"
 
     play(check)
 
@@ -200,7 +200,7 @@
             elections.fleet.net.cut(
                 [first.name], [node.name for node in elections.nodes if node is not first]
             )
-            await asyncio.sleep(2 * LEASE)
+            await asyncio.sleep(2 * LEASE_DURATION)
             assert elections.leader() is first
             assert {line["state"] for line in first.events("duty")} <= {"asking", "holding"}
 
@@ -209,7 +209,7 @@
 
 def test_wall_clock_steps_of_an_hour_do_not_change_the_leader() -> None:
     async def check() -> None:
-        async with election_fleet("etcd", 4, faultless=False) as elections:
+        async with election_fleet("etcd", 4, check_history=False) as elections:
             for number, name in enumerate(elections.fleet.nodes):
                 step = (3600, -3600, 7200, 0)[number]
                 elections.fleet.env[name] = {
@@ -220,7 +220,7 @@
             for node in elections.nodes[:3]:
                 await soon(lambda node=node: abs(node.logged()[-1]["at"] - time.time()) > 1800)  # type: ignore[misc]
             stepped_at = time.time()
-            await asyncio.sleep(2 * LEASE)
+            await asyncio.sleep(2 * LEASE_DURATION)
             assert elections.leader() is first
             assert elections.effects_since(stepped_at) > 5
             assert {line["state"] for line in first.events("duty")} <= {"asking", "holding"}
--- a/tests/election/test_reconcile_task.py
+++ b/tests/election/test_reconcile_task.py
@@ -18,7 +18,7 @@
     to_json_values,
 )
 from shelfhaven.election.watch_list_task import WatchListTask
-from shelfhaven.lab.fenced_store import FencedStore
+from shelfhaven.lab.target_stub import TargetStub
 from tests.election.helpers import (
     LOG,
     ControlledLease,
@@ -53,7 +53,7 @@
 
 def test_unresolved_operations_of_all_nodes_are_reconciled_once_each(tmp_path: Path) -> None:
     async def check() -> None:
-        target, services, local = FencedStore(), FakeNodeServices(), UnresolvedOperations()
+        target, services, local = TargetStub(), FakeNodeServices(), UnresolvedOperations()
         await target.start()
         local.add(operation("k1"))
         services.operations.add(operation("k2"))
--- a/tests/election/test_send_task.py
+++ b/tests/election/test_send_task.py
@@ -12,7 +12,7 @@
 from shelfhaven.election.leader_tasks import TaskFailedError
 from shelfhaven.election.lease import LeaseLostError
 from shelfhaven.election.send_task import SendProgress, SendSettings, SendTask
-from shelfhaven.lab.fenced_store import FencedStore, Mode
+from shelfhaven.lab.target_stub import Mode, TargetStub
 from tests.election.helpers import (
     LOG,
     ControlledLease,
@@ -25,7 +25,7 @@
     """A file of `count` lines, a target, and settings for tasks that send the file."""
 
     def __init__(self, folder: Path, batch_size: int = 2, resend: bool = True, count: int = 6) -> None:
-        self.path, self.target, self.batch_size, self.resend = folder / "f", FencedStore(), batch_size, resend
+        self.path, self.target, self.batch_size, self.resend = folder / "f", TargetStub(), batch_size, resend
         self.path.write_text("".join(f"{n}\n" for n in range(count)))
 
     def make_task(self) -> SendTask:
--- a/tests/failover/test_fleet.py
+++ b/tests/failover/test_fleet.py
@@ -16,7 +16,7 @@
 
 from shelfhaven.failover.administration import ExitCode
 from shelfhaven.lab.backend_stub import StubMode
-from shelfhaven.lab.election_fleet import USUAL_TIMEOUT, soon
+from shelfhaven.lab.election_fleet import DEFAULT_TIMEOUT, soon
 from shelfhaven.lab.etcd_stub import Mode as StoreMode
 from shelfhaven.lab.failover_fleet import ONE_REGION, TOPUP, TWO_REGIONS, World, world
 from shelfhaven.lab.fault_links import Rule
@@ -450,7 +450,7 @@
 
             async def insist(what: str, zone: str) -> None:
                 """As operators do: a command that met a decision has done nothing, and is repeated."""
-                async with asyncio.timeout(USUAL_TIMEOUT):
+                async with asyncio.timeout(DEFAULT_TIMEOUT):
                     while (code := (await run_zones(what, zone, "--yes"))[1]) == ExitCode.CHANGED_MEANWHILE:
                         pass
                 assert code == 0
--- a/tests/membership/fleet_world.py
+++ b/tests/membership/fleet_world.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from shelfhaven.lab.backend_stub import BackendStub
-from shelfhaven.lab.election_fleet import FAST, soon
+from shelfhaven.lab.election_fleet import FAST_MEMBERSHIP, soon
 from shelfhaven.lab.etcd_stub import EtcdStub
 from shelfhaven.lab.fleet import Fleet, FleetNode, fleet
 from shelfhaven.lab.fleet_checker import StatedLimits, find_violations
@@ -40,7 +40,7 @@
     store, backend = EtcdStub(), BackendStub("v", [], 16, 0.005)
     await store.start()
     await backend.start()
-    options["more"] = FAST + options.get("more", "")
+    options["more"] = FAST_MEMBERSHIP + options.get("more", "")
     try:
         async with fleet(count, store.port, [backend.address], **options) as processes:
             yield World(store, backend, processes)
--- a/tests/membership/test_etcd.py
+++ b/tests/membership/test_etcd.py
@@ -153,7 +153,7 @@
 def test_each_failed_call_ends_in_one_event_with_the_retry_delay_of_the_service(mode: Mode) -> None:
     async def check() -> None:
         async with service(timeout=0.2) as (store, client):
-            store.mode, store.advice = mode, 2.5
+            store.mode, store.retry_after = mode, 2.5
             retry_after = 2.5 if mode is Mode.REJECT else None
             requests: dict[Action, ListOperation] = {
                 ReadList(): ListOperation.READ,
--- a/tests/membership/test_etcd_keyspace.py
+++ b/tests/membership/test_etcd_keyspace.py
@@ -45,12 +45,12 @@
 
 def test_a_restored_store_keeps_its_cluster_id_and_an_emptied_one_gets_another() -> None:
     keyspace = EtcdKeyspace()
-    cluster = keyspace.cluster
+    cluster = keyspace.cluster_id
     keyspace.put("a", "1")
     saved = keyspace.snapshot()
     keyspace.put("b", "1")
     keyspace.restore(saved)
-    assert (keyspace.cluster, keyspace.revision, set(keyspace.kvs)) == (cluster, 2, {b"a"})
+    assert (keyspace.cluster_id, keyspace.revision, set(keyspace.kvs)) == (cluster, 2, {b"a"})
     assert keyspace.events_since(0) == [], "watches cannot continue after a restore"
-    keyspace.forget()
-    assert (keyspace.cluster, keyspace.revision, keyspace.kvs) == (cluster + 1, 1, {})
+    keyspace.replace_with_empty()
+    assert (keyspace.cluster_id, keyspace.revision, keyspace.kvs) == (cluster + 1, 1, {})
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -12,7 +12,7 @@
 from shelfhaven.lab.backend_stub import BackendStub
 from shelfhaven.lab.backend_stub import StubMode as BackendMode
 from shelfhaven.lab.callers import NOT_REACHED
-from shelfhaven.lab.election_fleet import FAST, soon
+from shelfhaven.lab.election_fleet import FAST_MEMBERSHIP, soon
 from shelfhaven.lab.etcd_stub import EtcdStub, Mode
 from shelfhaven.lab.fault_links import Rule
 from tests.fleets import play
@@ -76,7 +76,10 @@
             await fleet_world.start_and_wait(6)
             old_data = fleet_world.store.snapshot()
             fleet_world.store.put("/shelfhaven/pools/other/s", "127.0.0.1:9")
-            for reset_store in (fleet_world.store.forget, lambda: fleet_world.store.restore(old_data)):
+            for reset_store in (
+                fleet_world.store.replace_with_empty,
+                lambda: fleet_world.store.restore(old_data),
+            ):
                 node_counts, stop = [6], asyncio.Event()
 
                 async def record(node_counts: list[int] = node_counts, stop: asyncio.Event = stop) -> None:
@@ -99,7 +102,7 @@
     async def check() -> None:
         async with world() as fleet_world:
             await fleet_world.start_and_wait(6)
-            fleet_world.store.mode, fleet_world.store.advice = Mode.REJECT, 1.0
+            fleet_world.store.mode, fleet_world.store.retry_after = Mode.REJECT, 1.0
             before = sum(fleet_world.store.requests_by_second.values())
             await asyncio.sleep(4.0)
             assert sum(fleet_world.store.requests_by_second.values()) - before <= 4.0 * 60
@@ -262,7 +265,7 @@
 def test_a_node_that_is_not_ready_reports_it_but_serves_requests() -> None:
     async def check() -> None:
         async with world(1, more='list-within "3s"\n') as fleet_world:
-            fleet_world.fleet.values["more"] = FAST.replace('list-within "2s"', 'list-within "3s"')
+            fleet_world.fleet.values["more"] = FAST_MEMBERSHIP.replace('list-within "2s"', 'list-within "3s"')
             fleet_world.store.mode = Mode.HANG
             (node,) = fleet_world.nodes
             await fleet_world.fleet.start(node)
