--- a/tests/failover/test_fleet.py
+++ b/tests/failover/test_fleet.py
@@ -16,7 +16,7 @@
 
 from shelfhaven.failover.administration import ExitCode
 from shelfhaven.lab.backend_stub import StubMode
-from shelfhaven.lab.election_fleet import USUAL_TIMEOUT, soon
+from shelfhaven.lab.election_fleet import DEFAULT_TIMEOUT, soon
 from shelfhaven.lab.etcd_stub import Mode as StoreMode
 from shelfhaven.lab.failover_fleet import ONE_REGION, TOPUP, TWO_REGIONS, World, world
 from shelfhaven.lab.fault_links import Rule
@@ -471,7 +471,7 @@
 
             async def run_until_applied(action: str, zone: str) -> None:
                 """Repeat a command while it is rejected because the controller changed the policy."""
-                async with asyncio.timeout(USUAL_TIMEOUT):
+                async with asyncio.timeout(DEFAULT_TIMEOUT):
                     while (code := (await run_zones(action, zone, "--yes"))[1]) == ExitCode.CONFLICT:
                         pass
                 assert code == 0
