--- a/shelfhaven/protocol/__init__.py
+++ b/shelfhaven/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of the peers of one server; no I/O and no state beyond what one stream needs."""
+"""Codecs of the protocols that a server speaks; they do no I/O and keep only the state of one stream."""
--- a/shelfhaven/protocol/agent.py
+++ b/shelfhaven/protocol/agent.py
@@ -1,7 +1,8 @@
-"""Codec of the render farm agent's connection: lines of fields, some followed by a body of announced length.
+"""Codec of the render farm agent's protocol: lines of space-separated fields, some followed by a body.
 
-Contract: bytes in, notices out (`NoticeParser`), and commands in, bytes out (`encode_command`).  It does no
-I/O, assigns no numbers to notices and does not decide what a notice means for a request.
+The last field of a line that is followed by a body gives the body's length.  `NoticeParser` turns received
+bytes into notices, `encode_command` turns commands into bytes.  This module does no I/O, does not number
+notices and does not decide what a notice means for a request.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from shelfhaven.protocol.framing import parse_length
 
 MAX_LINE_BYTES = 4096
-MAX_BODY_BYTES = 1 << 20  # results hold 4 KiB, calls less; with a longer one the stream is out of step
-MAX_REPORTED_LINE_BYTES = 200  # of a malformed line, for the log
+MAX_BODY_BYTES = 1 << 20  # results have 4 KiB and calls less: a larger length means a stream out of sync
+MAX_LOGGED_LINE_BYTES = 200  # of a malformed line, for the log
 LINE_END = b"\r\n"
-FIELD_COUNTS_BEFORE_BODY = {b"outcome": 6, b"request": 4}  # fields of the lines that a body follows
+FIELD_COUNTS_WITH_BODY = {b"outcome": 6, b"request": 4}  # number of fields of the lines with a body
 
 
 class StreamError(ShelfhavenError):
-    """The stream cannot be split into notices any further."""
+    """The stream is out of sync and cannot be split into notices any further."""
 
 
 @dataclass(frozen=True, slots=True)
 class AgentGreeted:
-    """The agent is up since `uptime_ms`; `loaded` says whether it has runs."""
+    """The agent has been up for `uptime_ms`; `loaded` tells whether it has runs."""
 
     loaded: bool
     uptime_ms: float
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunOutcome:
-    """A run is over; `end` names how it ended, as the agent writes it."""
+    """A run has ended; `end` is the agent's word for how it ended."""
 
     number: int
     run_id: str
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequested:
-    """A run waits for a downstream call with this body."""
+    """A run asks for a downstream call with this body and waits for the reply."""
 
     number: int
     run_id: str
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GaugesSampled:
-    """The gauges, as the command with this tag asked for them."""
+    """The gauge values that the `SampleGauges` command with this tag asked for."""
 
     tag: str
     values: tuple[float, ...]
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRejected:
-    """A command for a run was not carried out."""
+    """The agent did not carry out a command for a run."""
 
     command: str
     run_id: str
@@ -70,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Remark:
-    """A numbered notice without a meaning; its number counts all the same."""
+    """A numbered notice that requires no action; its number still counts for the replay."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedLine:
-    """A line that cannot be decoded; `run_id` is the run that it may concern, or empty."""
+    """A line that cannot be decoded; `run_id` is the run that it may be about, or empty."""
 
     line: str
     run_id: str = ""
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingBody:
-    """The line whose body has not arrived completely."""
+    """A line whose body has not arrived completely."""
 
     fields: list[bytes]
     length: int
@@ -104,7 +105,7 @@
         self._pending: _PendingBody | None = None
 
     def feed(self, data: bytes) -> list[Notice]:
-        """The notices that are complete with this data, in order.
+        """Add received data; return the notices that are now complete, in order.
 
         Raises:
             StreamError: the stream cannot be split any further.
@@ -117,41 +118,41 @@
 
     def _next_notice(self) -> Notice | None:
         if self._pending is None:
-            line = self._next_line()
+            line = self._read_line()
             if line is None:
                 return None
             fields = line.split()
-            if not fields or len(fields) != FIELD_COUNTS_BEFORE_BODY.get(fields[0]):
+            if not fields or len(fields) != FIELD_COUNTS_WITH_BODY.get(fields[0]):
                 return _decode_notice(fields, line, b"")
-            self._pending = _PendingBody(fields, _body_length(fields[-1]))
-        return self._notice_with_body(self._pending)
+            self._pending = _PendingBody(fields, _parse_body_length(fields[-1]))
+        return self._read_body(self._pending)
 
-    def _next_line(self) -> bytes | None:
+    def _read_line(self) -> bytes | None:
         end = self.unread.find(LINE_END)
         if end < 0 or end > MAX_LINE_BYTES:
             if len(self.unread) > MAX_LINE_BYTES:
-                raise StreamError("a line without end")
+                raise StreamError("line exceeds the size limit")
             return None
         line = bytes(self.unread[:end])
         del self.unread[: end + len(LINE_END)]
         return line
 
-    def _notice_with_body(self, pending: _PendingBody) -> Notice | None:
+    def _read_body(self, pending: _PendingBody) -> Notice | None:
         end = pending.length + len(LINE_END)
         if len(self.unread) < end:
             return None
         body = bytes(self.unread[: pending.length])
         if self.unread[pending.length : end] != LINE_END:
-            raise StreamError("a body that does not end where its length says")
+            raise StreamError("no line end after the body")
         del self.unread[:end]
         self._pending = None
         return _decode_notice(pending.fields, b" ".join(pending.fields), body)
 
 
-def _body_length(digits: bytes) -> int:
+def _parse_body_length(digits: bytes) -> int:
     length = parse_length(digits, MAX_BODY_BYTES)
     if length is None:
-        raise StreamError("a length that is no length or too large")
+        raise StreamError("invalid or too large body length")
     return length
 
 
@@ -159,17 +160,21 @@
     text = [field.decode("ascii", "replace") for field in fields]
     notice: Notice | None
     try:
-        notice = _numbered_notice(text, body) or _unnumbered_notice(text)
+        notice = _decode_numbered(text, body) or _decode_unnumbered(text)
     except ValueError:
         notice = None
     return notice or _malformed_line(text, line)
 
 
-def _numbered_notice(fields: list[str], body: bytes) -> RunOutcome | CallRequested | Remark | None:
-    """A notice that the agent replays on each connection; raises ValueError for what is no number."""
+def _decode_numbered(fields: list[str], body: bytes) -> RunOutcome | CallRequested | Remark | None:
+    """Decode a notice that the agent replays on each connection; None for any other.
+
+    Raises:
+        ValueError: a field is not the number that it has to be.
+    """
     match fields:
         case ["outcome", number, run_id, end, duration_ms, _]:
-            return RunOutcome(int(number), run_id, end, _parse_quantity(duration_ms), body)
+            return RunOutcome(int(number), run_id, end, _parse_non_negative(duration_ms), body)
         case ["request", number, run_id, _]:
             return CallRequested(int(number), run_id, body)
         case ["aside", number, *_]:
@@ -177,27 +182,35 @@
     return None
 
 
-def _unnumbered_notice(fields: list[str]) -> AgentGreeted | GaugesSampled | CommandRejected | None:
-    """A notice that is sent once; raises ValueError for what is no number."""
+def _decode_unnumbered(fields: list[str]) -> AgentGreeted | GaugesSampled | CommandRejected | None:
+    """Decode a notice that the agent sends only once; None for any other.
+
+    Raises:
+        ValueError: a field is not the number that it has to be.
+    """
     match fields:
         case ["greeting", ("EMPTY" | "LOADED") as state, uptime_ms]:
-            return AgentGreeted(state == "LOADED", _parse_quantity(uptime_ms))
+            return AgentGreeted(state == "LOADED", _parse_non_negative(uptime_ms))
         case ["sampled", tag, *values]:
-            return GaugesSampled(tag, tuple(_parse_quantity(value) for value in values))
+            return GaugesSampled(tag, tuple(_parse_non_negative(value) for value in values))
         case ["refusal", command, run_id]:
             return CommandRejected(command, run_id)
     return None
 
 
 def _malformed_line(fields: list[str], line: bytes) -> MalformedLine:
-    concerns_run = len(fields) > 2 and fields[0] in ("outcome", "request")
-    start = line[:MAX_REPORTED_LINE_BYTES].decode("ascii", "replace")
-    return MalformedLine(start, fields[2] if concerns_run else "")
+    names_run = len(fields) > 2 and fields[0] in ("outcome", "request")
+    start = line[:MAX_LOGGED_LINE_BYTES].decode("ascii", "replace")
+    return MalformedLine(start, fields[2] if names_run else "")
+
 
+def _parse_non_negative(digits: str) -> float:
+    """Return a finite number of at least 0.
 
-def _parse_quantity(digits: str) -> float:
-    """A finite number from 0 up; raises ValueError for anything else."""
-    value = float(digits.encode())  # as bytes: digits of other scripts than ASCII are no number here
+    Raises:
+        ValueError: the text is no such number.
+    """
+    value = float(digits.encode())  # unlike a str, bytes with digits of other scripts are rejected
     if not math.isfinite(value) or value < 0:
         raise ValueError(digits)
     return value
@@ -205,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchRun:
-    """Run a request."""
+    """Start the run of a request."""
 
     run_id: str
     class_name: str
@@ -222,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProceedWithoutCall:
-    """Let a run continue without the call that the notice with this number requested."""
+    """Let a run continue without the call that it requested by the notice with this number."""
 
     run_id: str
     notice_number: int
@@ -230,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SampleGauges:
-    """Ask for the gauges; the answer carries the same tag."""
+    """Ask for the gauge values; the agent's notice repeats the tag."""
 
     tag: str
 
@@ -239,7 +252,7 @@
 
 
 def encode_command(command: RunCommand | SampleGauges) -> bytes:
-    """The bytes of one command."""
+    """Return the bytes of one command."""
     match command:
         case LaunchRun():
             return _encode_with_body(f"launch {command.run_id} {command.class_name}", command.body)
@@ -252,7 +265,7 @@
 
 
 def encode_subscription(last_notice: int) -> bytes:
-    """The line that opens the connection; the agent replays what it sent after that notice."""
+    """Return the line that opens a connection; the agent replays the notices after `last_notice`."""
     return b"subscribe %d\r\n" % last_notice
 
 
--- a/shelfhaven/protocol/framing.py
+++ b/shelfhaven/protocol/framing.py
@@ -1,15 +1,15 @@
-"""What the codecs share: how the length that is announced before a body is read.
+"""Parsing of the length that precedes a body, shared by the codecs.
 
-Contract: pure functions, which neither do I/O nor raise; the codecs say what a wrong length means for them.
+The functions here are pure and raise nothing: each codec decides what an invalid length means.
 """
 
 from __future__ import annotations
 
-MAX_LENGTH_DIGITS = 9  # so that no peer makes this process convert a number of thousands of digits
+MAX_LENGTH_DIGITS = 9  # bounds the cost of the conversion: a peer may send thousands of digits
 
 
 def parse_length(digits: bytes, max_length: int) -> int | None:
-    """The length that these ASCII digits give; None if they are no number or it exceeds `max_length`."""
+    """Return the length written in ASCII digits; None if it is not a number or exceeds `max_length`."""
     if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS:
         return None
     length = int(digits)
--- a/shelfhaven/protocol/http.py
+++ b/shelfhaven/protocol/http.py
@@ -1,7 +1,8 @@
-"""Codec of HTTP/1.1 as far as it is spoken here: calls to the ledger, and responses of and to uwsgi peers.
+"""Codec of the parts of HTTP/1.1 in use: calls to the ledger, responses of uwsgi servers and to gateways.
 
-Contract: bytes in, the one response out (`ResponseParser`), and calls or responses in, bytes out.  It does no
-I/O, follows no redirects and does not decide what a status means for a request.
+`ResponseParser` turns received bytes into a response; `encode_ledger_call` and `encode_response` turn calls
+and responses into bytes.  This module does no I/O, follows no redirects and does not decide what a status
+means for a request.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 MAX_HEAD_BYTES = 8 * 1024
 MAX_BODY_BYTES = 1 << 20
 HEAD_END = b"\r\n\r\n"
-FIRST_FINAL_STATUS = 200  # smaller ones are interim: the final response follows
+FIRST_FINAL_STATUS = 200  # a smaller status is interim: the final response follows
 STATUS_DIGITS = 3
 BODILESS_STATUSES = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)  # RFC 9112, section 6.3
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 class StreamError(ShelfhavenError):
-    """The bytes are no response that can be read."""
+    """The received bytes are not a valid response, or not one that this codec supports."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,8 +32,8 @@
     """One response.
 
     Attributes:
-        untouched: the ledger says that the call changed nothing (`X-Untouched`).
-        not_run: the backend says that nothing ran (`X-Not-Run`).
+        untouched: whether the ledger states that the call changed nothing (`X-Untouched`).
+        not_run: whether the backend states that nothing ran (`X-Not-Run`).
     """
 
     status: int
@@ -43,16 +44,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _Head:
-    """Status and header fields of a response; names are in lower case."""
+    """Status and header fields of a response; field names are in lower case."""
 
     status: int
     fields: dict[bytes, bytes]
 
 
 class ResponseParser:
-    """Reads the one response from a connection's bytes; what comes after it stays in `unread`.
+    """Parses the one response that is expected on a connection; bytes after it stay in `unread`.
 
-    `read_until_close`: a response without a length ends with its connection, as those of uwsgi servers may.
+    With `read_until_close`, a response without a length extends to the end of its connection, as is common
+    for uwsgi servers.
     """
 
     def __init__(self, read_until_close: bool = False, max_body_bytes: int = MAX_BODY_BYTES) -> None:
@@ -62,10 +64,10 @@
         self._head: _Head | None = None
 
     def feed(self, data: bytes) -> Response | None:
-        """The response, if it is complete with this data; interim ones (1xx) are skipped.
+        """Add received data; return the response if it is now complete.  Interim ones (1xx) are skipped.
 
         Raises:
-            StreamError: the bytes are no response, or one that is too large.
+            StreamError: the bytes are not a valid response, or it is too large.
         """
         self.unread += data
         response = self._next_response()
@@ -74,10 +76,13 @@
         return response
 
     def close(self) -> Response | None:
-        """The response that ends with its connection, if its head is complete and gave no length."""
+        """Take the end of the connection; return the response that it completes, if there is one.
+
+        That is a response whose head was received and gave no length.
+        """
         if self._head is None or self._body_length(self._head) is not None:
             return None
-        return self._complete(self._head, bytes(self.unread))
+        return self._finish_response(self._head, bytes(self.unread))
 
     def _next_response(self) -> Response | None:
         if self._head is None:
@@ -87,43 +92,43 @@
         length = self._body_length(self._head)
         if length is None:
             if len(self.unread) > self.max_body_bytes:
-                raise StreamError("a body that is too large")
+                raise StreamError("body exceeds the size limit")
             return None
         if len(self.unread) < length:
             return None
         body = bytes(self.unread[:length])
         del self.unread[:length]
-        return self._complete(self._head, body)
+        return self._finish_response(self._head, body)
 
     def _read_head(self) -> _Head | None:
-        """The next head; None until it is complete."""
+        """Return the next head; None until it is complete."""
         end = self.unread.find(HEAD_END, 0, MAX_HEAD_BYTES + len(HEAD_END))
         if end < 0:
             if len(self.unread) > MAX_HEAD_BYTES:
-                raise StreamError("a head without end")
+                raise StreamError("header exceeds the size limit")
             return None
         head = _decode_head(bytes(self.unread[:end]))
         del self.unread[: end + len(HEAD_END)]
         return head
 
-    def _complete(self, head: _Head, body: bytes) -> Response:
+    def _finish_response(self, head: _Head, body: bytes) -> Response:
         self._head = None
         untouched = head.fields.get(b"x-untouched") == b"1"
         not_run = head.fields.get(b"x-not-run") == b"1"
         return Response(head.status, untouched, body, not_run)
 
     def _body_length(self, head: _Head) -> int | None:
-        """How long the body is; None if it ends with its connection."""
+        """Return the length of the body; None if the body extends to the end of the connection."""
         if head.status < FIRST_FINAL_STATUS or head.status in BODILESS_STATUSES:
             return 0
         value = head.fields.get(b"content-length")
         if b"transfer-encoding" in head.fields or (value is None and not self.read_until_close):
-            raise StreamError("a body without a length")
+            raise StreamError("body without a Content-Length")
         if value is None:
             return None
         length = parse_length(value, self.max_body_bytes)
         if length is None:
-            raise StreamError("a length that is no length or too large")
+            raise StreamError("invalid or too large Content-Length")
         return length
 
 
@@ -136,7 +141,7 @@
     version, _, rest = status_line.partition(b" ")
     digits = rest[:STATUS_DIGITS]
     if not version.startswith(b"HTTP/1.") or len(digits) != STATUS_DIGITS or not digits.isdigit():
-        raise StreamError("no status line")
+        raise StreamError("invalid status line")
     return int(digits)
 
 
@@ -145,17 +150,17 @@
     for line in lines:
         raw_name, colon, raw_value = line.partition(b":")
         if not colon:
-            raise StreamError("a header line without a colon")
+            raise StreamError("header line without a colon")
         name = raw_name.strip().lower()
         value = raw_value.strip()
         if name == b"content-length" and fields.get(name, value) != value:
-            raise StreamError("two lengths")
+            raise StreamError("conflicting Content-Length fields")
         fields[name] = value
     return fields
 
 
 def encode_ledger_call(host: str, transaction_ref: str, timeout_ms: int, body: bytes) -> bytes:
-    """One call to the ledger."""
+    """Return the bytes of a call to the ledger."""
     head = (
         f"POST /post HTTP/1.1\r\nHost: {host}\r\nX-Txn-Ref: {transaction_ref}\r\nX-Limit-Ms: {timeout_ms}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -164,7 +169,7 @@
 
 
 def encode_response(status: int, fields: Iterable[tuple[str, str]], body: bytes, close: bool) -> bytes:
-    """One response, with its length; `close` says that nothing follows on its connection."""
+    """Return the bytes of a response; `close`: its connection is closed after it."""
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}"]
     lines += [f"{name}: {value}" for name, value in fields]
     lines += [f"Content-Length: {len(body)}", f"Connection: {'close' if close else 'keep-alive'}"]
--- a/shelfhaven/protocol/jsonrpc.py
+++ b/shelfhaven/protocol/jsonrpc.py
@@ -1,8 +1,8 @@
-"""Codec of the routers' protocol: JSON-RPC 2.0 messages, each behind a `Content-Length` header.
+"""Codec of the routers' protocol: JSON-RPC 2.0 messages, each preceded by a `Content-Length` header.
 
-Contract: bytes in, bodies of messages out (`FrameParser`); a body in, a typed message out (`decode`); answers
-in, bytes out (`encode_result` and its siblings).  It does no I/O, keeps nothing beyond one stream's unread
-bytes and does not decide whether a request is served.
+`FrameParser` splits received bytes into the bodies of messages, `decode` turns a body into a typed message,
+and the `encode_*` functions turn answers into bytes.  This module does no I/O, keeps no state but the unread
+bytes of a stream and does not decide whether a request is served.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from shelfhaven.protocol.framing import parse_length
 
 MAX_HEADER_BYTES = 1024  # the header is one short line
-MAX_MESSAGE_BYTES = 16 * 1024  # a body of 2 KiB in base64 beside a dozen short fields
+MAX_MESSAGE_BYTES = 16 * 1024  # enough for a body of 2 KiB in base64 and a dozen short fields
 MAX_BODY_BYTES = 2048
 MAX_NAME_LENGTH = 256  # characters of a name or key
-FOOTPRINT_LIMIT_KB = 2000  # by the protocol; a footprint is smaller
-NUMBER_LIMIT = 1 << 53  # a larger number is not exact in JSON
+FOOTPRINT_LIMIT_KB = 2000  # the protocol requires a footprint below this
+NUMBER_LIMIT = 1 << 53  # integers above this are not exact in JSON
 ATTEMPT_ID_PATTERN = re.compile(r"[0-9a-f]{16}\Z")
 PARTITION_KEY_PATTERN = re.compile(r"[0-9a-f]{1,16}\Z")
 HEADER_END = b"\r\n\r\n"
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request of some class, with the values that the protocol gives them: 0 or empty where it tells none.
+    """A request as the router sent it; optional fields that it left out are 0 or empty.
 
     Attributes:
-        received_ms: Unix time when the router received it.
-        work_hint_ms: expected work.
-        footprint_kb: memory that it takes while it is in the server.
-        priority: weight within its class.
-        budget_ms: how long its client still waits.
+        received_ms: Unix time at which the router received the request.
+        work_hint_ms: expected duration of the run.
+        footprint_kb: memory that the request takes while it is in the server.
+        priority: weight within the request's class.
+        budget_ms: how long the client still waits.
     """
 
     id: int
@@ -81,21 +81,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheck:
-    """A health check."""
+    """The router asks whether this server is healthy."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidMessage:
-    """A message that has to be answered and cannot be served as it is; `code` and `message` say why."""
+    """An invalid message that can be answered by its id; `code` and `message` describe the error."""
 
     id: int
     code: int
     message: str
 
 
-JsonObject: TypeAlias = dict[str, object]  # whose values have yet to be checked, or are about to be sent
+JsonObject: TypeAlias = dict[str, object]  # received, with values not checked yet, or to be sent
 Message: TypeAlias = Request | CancelRequest | HealthCheck | InvalidMessage
 
 
@@ -104,13 +104,13 @@
 
     def __init__(self) -> None:
         self.unread = bytearray()
-        self._body_length: int | None = None  # of the body whose header was read
+        self._body_length: int | None = None  # length of the next body, once its header has been read
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The bodies that are complete with this data, in order.
+        """Add received data; yield the bodies that are now complete, in order.
 
         Raises:
-            StreamError: after the last of them, if the stream cannot be split any further.
+            StreamError: after the last complete body, if the stream cannot be split any further.
         """
         self.unread += data
         while (body := self._next_body()) is not None:
@@ -128,30 +128,30 @@
         return body
 
     def _read_header(self) -> int | None:
-        """The length that the next header gives; None until the header is complete."""
+        """Return the length that the next header gives; None until the header is complete."""
         end = self.unread.find(HEADER_END, 0, MAX_HEADER_BYTES + len(HEADER_END))
         if end < 0:
             if len(self.unread) > MAX_HEADER_BYTES:
-                raise StreamError("a head without end")
+                raise StreamError("header exceeds the size limit")
             return None
-        length = _content_length(bytes(self.unread[:end]))
+        length = _parse_content_length(bytes(self.unread[:end]))
         del self.unread[: end + len(HEADER_END)]
         return length
 
 
-def _content_length(header: bytes) -> int:
+def _parse_content_length(header: bytes) -> int:
     for line in header.split(b"\r\n"):
         name, _, value = line.partition(b":")
         if name.strip().lower() == b"content-length":
             length = parse_length(value.strip(), MAX_MESSAGE_BYTES)
             if length is None:
-                raise StreamError("a length that is no length or too large")
+                raise StreamError("invalid or too large Content-Length")
             return length
-    raise StreamError("a head without a length")
+    raise StreamError("header without a Content-Length")
 
 
 class _InvalidParamError(ShelfhavenError):
-    """A parameter that is missing or of the wrong kind."""
+    """A parameter is missing or invalid."""
 
     def __init__(self, name: str, reason: str) -> None:
         super().__init__(f"{name}: {reason}")
@@ -164,10 +164,10 @@
 
 
 def decode(body: bytes) -> Message:
-    """The typed value of one message.
+    """Decode the body of one message.
 
     Raises:
-        StreamError: not even an id can be read, so that no answer could be told from another.
+        StreamError: the message has no readable id, so that an answer could not be matched to it.
     """
     message = _decode_object(body)
     method = message.get("method")
@@ -176,7 +176,7 @@
     if method == "cancelRequest" and isinstance(params, dict) and _is_id(params.get("id")):
         return CancelRequest(params["id"])
     if not _is_id(id_):
-        raise StreamError("a message without an id that is a number from 1 up")
+        raise StreamError("message without a positive integer id")
     if message.get("jsonrpc") != "2.0" or not isinstance(method, str) or not method:
         return InvalidMessage(id_, INVALID_REQUEST, "not a request of JSON-RPC 2.0")
     if method == "alive":
@@ -193,39 +193,41 @@
     try:
         message = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise StreamError("a body that is no JSON") from error
+        raise StreamError("message is not valid JSON") from error
     if not isinstance(message, dict):
-        raise StreamError("a message that is no object")
+        raise StreamError("message is not a JSON object")
     return message
 
 
 def _decode_request(id_: int, method: str, params: JsonObject) -> Request:
-    partition_key = _string(params, "row")
+    partition_key = _parse_string(params, "row")
     if partition_key and not PARTITION_KEY_PATTERN.match(partition_key):
         raise _InvalidParamError("row", "not a number in hex")
-    attempt_id = _string(params, "call")
+    attempt_id = _parse_string(params, "call")
     if not ATTEMPT_ID_PATTERN.match(attempt_id):
         raise _InvalidParamError("call", "not 16 hex digits")
     return Request(
         id=id_,
         attempt_id=attempt_id,
         class_name=method,
-        received_ms=_number(params, "recv", required=True),
-        caller=_integer(params, "src"),
-        tenant=_string(params, "org"),
+        received_ms=_parse_number(params, "recv", required=True),
+        caller=_parse_integer(params, "src"),
+        tenant=_parse_string(params, "org"),
         is_retry=params.get("rep") in (1, "1", True),
-        work_hint_ms=_number(params, "work"),
-        footprint_kb=_footprint(params),
-        priority=_number(params, "crit", limit=1),
-        idempotency_key=_string(params, "dedupe"),
+        work_hint_ms=_parse_number(params, "work"),
+        footprint_kb=_parse_footprint(params),
+        priority=_parse_number(params, "crit", limit=1),
+        idempotency_key=_parse_string(params, "dedupe"),
         partition_key=int(partition_key, 16) if partition_key else 0,
-        budget_ms=_number(params, "ttl"),
-        body=_body(params),
+        budget_ms=_parse_number(params, "ttl"),
+        body=_parse_body(params),
     )
 
 
-def _number(params: JsonObject, name: str, required: bool = False, limit: float = NUMBER_LIMIT) -> float:
-    """A number from 0 to under the limit; 0 for an optional one that is missing."""
+def _parse_number(
+    params: JsonObject, name: str, required: bool = False, limit: float = NUMBER_LIMIT
+) -> float:
+    """Return a number of at least 0 and below the limit; 0 if it is optional and missing."""
     value = params.get(name)
     if value is None and not required:
         return 0.0
@@ -234,28 +236,28 @@
     return float(value)
 
 
-def _footprint(params: JsonObject) -> float:
-    value = _number(params, "heap", required=True, limit=FOOTPRINT_LIMIT_KB)
+def _parse_footprint(params: JsonObject) -> float:
+    value = _parse_number(params, "heap", required=True, limit=FOOTPRINT_LIMIT_KB)
     if value == 0:
         raise _InvalidParamError("heap", "not above 0")
     return value
 
 
-def _integer(params: JsonObject, name: str) -> int:
-    value = _number(params, name, required=True)
+def _parse_integer(params: JsonObject, name: str) -> int:
+    value = _parse_number(params, name, required=True)
     if not value.is_integer():
         raise _InvalidParamError(name, "not a whole number")
     return int(value)
 
 
-def _string(params: JsonObject, name: str) -> str:
+def _parse_string(params: JsonObject, name: str) -> str:
     value = params.get(name, "")
     if not isinstance(value, str) or len(value) > MAX_NAME_LENGTH:
         raise _InvalidParamError(name, "not a short string")
     return value
 
 
-def _body(params: JsonObject) -> bytes:
+def _parse_body(params: JsonObject) -> bytes:
     text = params.get("body", "")
     if not isinstance(text, str):
         raise _InvalidParamError("body", "not a string")
@@ -274,24 +276,24 @@
 
 
 def _encode_response(id_: int, result: JsonObject, load: float | None) -> bytes:
-    """A response that succeeds, with the advertised load once there is one."""
+    """Return a response with a result, and the advertised load once there is one."""
     if load is not None:
         result["load"] = load
     return _encode_frame({"jsonrpc": "2.0", "id": id_, "result": result})
 
 
 def encode_result(id_: int, body: bytes, load: float | None) -> bytes:
-    """The answer that carries a run's result."""
+    """Return the answer that carries a run's result."""
     return _encode_response(id_, {"body": base64.b64encode(body).decode()}, load)
 
 
 def encode_error(
     id_: int | None, code: int, message: str, load: float | None, pushback_ms: float = 0.0, stop: bool = False
 ) -> bytes:
-    """An answer without a result: rejected, failed or invalid.
+    """Return an answer without a result: to a rejected, failed, cancelled or invalid request.
 
-    `pushback_ms`: how long the caller should stay away, 0 for no such advice; `stop`: no other server is
-    worth a retry either.
+    `pushback_ms`: the delay before a retry that the caller is advised to keep, 0 for no advice; `stop`: the
+    caller should not retry at another server either.
     """
     data: JsonObject = {} if load is None else {"load": load}
     if pushback_ms > 0:
@@ -305,7 +307,7 @@
 
 
 def encode_health(id_: int, healthy: bool, load: float | None) -> bytes:
-    """The answer to a health check."""
+    """Return the answer to a health check."""
     return _encode_response(id_, {"green": healthy}, load)
 
 
--- a/shelfhaven/protocol/members.py
+++ b/shelfhaven/protocol/members.py
@@ -1,11 +1,11 @@
-"""Codec of the load reports to the membership service: one datagram of three words.
+"""Codec of the status reports to the membership service: datagrams of three words.
 
-Contract: a pure function; it sends nothing and does not decide what is reported.
+The function here is pure: it neither sends a report nor decides what to report.
 """
 
 from __future__ import annotations
 
 
 def encode_report(name: str, accepting: bool) -> bytes:
-    """The datagram that says whether the server of this name accepts requests."""
+    """Return the datagram that reports whether the server with this name accepts requests."""
     return f"HB {name} {'UP' if accepting else 'OUT'}".encode()
--- a/shelfhaven/protocol/uwsgi.py
+++ b/shelfhaven/protocol/uwsgi.py
@@ -1,10 +1,11 @@
 """Codec of the uwsgi protocol: packets of variables, each followed by a body.
 
-Contract: bytes in, requests out (`RequestParser`), and requests in, bytes out (`encode`).  It does no I/O,
-keeps no more than one request's unread bytes and interprets no variable but CONTENT_LENGTH.
+`RequestParser` turns received bytes into requests, `encode` turns a request into bytes.  This module does no
+I/O, buffers the unread bytes of at most one request and interprets no variable but CONTENT_LENGTH.
 
-Source: "The uwsgi protocol", uWSGI documentation: a header of four bytes (modifier1, size of the block as 16
-bits in little endian, modifier2), then pairs of a 16-bit length and that many bytes for each name and value.
+The format is that of "The uwsgi protocol" in the uWSGI documentation: a header of four bytes (modifier1, the
+size of the block as a 16-bit little-endian integer, modifier2), then the block, which holds the names and
+values of the variables in turn, each as a 16-bit little-endian length and that many bytes.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from shelfhaven.errors import ShelfhavenError
 
 HEADER = struct.Struct("<BHB")
-TEXT_SIZE = struct.Struct("<H")
-APPLICATION_REQUEST = 0  # modifier1 of a request for an application; others are for a uWSGI server itself
-BLOCK_SIZE_LIMIT = 1 << 16  # bytes; by its 16-bit size a block is smaller
-MAX_BLOCK_BYTES = 16 * 1024  # of variables; a gateway sends one to three KiB
+STRING_LENGTH = struct.Struct("<H")
+APPLICATION_REQUEST = 0  # modifier1 of a request to an application; others address the uWSGI server itself
+BLOCK_SIZE_LIMIT = 1 << 16  # bytes; a block is smaller, as its size has 16 bits
+MAX_BLOCK_BYTES = 16 * 1024  # gateways send 1 to 3 KiB of variables
 MAX_BODY_BYTES = 64 * 1024
 MAX_NAME_BYTES = 256
-MAX_CONTENT_LENGTH_DIGITS = 18  # so that no peer makes this process convert a number of thousands of digits
+MAX_CONTENT_LENGTH_DIGITS = 18  # bounds the cost of the conversion: a peer may send thousands of digits
 CONTENT_LENGTH = "CONTENT_LENGTH"
 
 
 class StreamError(ShelfhavenError):
-    """The stream cannot be split into requests any further; `status` is the HTTP status that says why."""
+    """The stream cannot be split into requests any further; `status` is the HTTP status of the answer."""
 
     def __init__(self, status: HTTPStatus, text: str) -> None:
         super().__init__(text)
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingBody:
-    """The variables of the request whose body has not arrived completely."""
+    """The variables of a request whose body has not arrived completely."""
 
     variables: dict[str, str]
     length: int
@@ -61,7 +62,7 @@
         self._pending: _PendingBody | None = None
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that are complete with this data, in order.
+        """Add received data; return the requests that are now complete, in order.
 
         Raises:
             StreamError: the stream cannot be split any further.
@@ -89,7 +90,7 @@
         return Request(pending.variables, body)
 
     def _read_block(self) -> _PendingBody | None:
-        """The next request's variables; None until their block is complete."""
+        """Return the variables of the next request; None until their block is complete."""
         if self.unread and self.unread[0] != APPLICATION_REQUEST:
             raise StreamError(HTTPStatus.NOT_IMPLEMENTED, f"modifier1 {self.unread[0]} is not served here")
         if len(self.unread) < HEADER.size:
@@ -102,11 +103,11 @@
         if len(self.unread) < end:
             return None
         variables = decode_block(bytes(self.unread[HEADER.size : end]))
-        length = self._content_length(variables)
+        length = self._parse_content_length(variables)
         del self.unread[:end]
         return _PendingBody(variables, length)
 
-    def _content_length(self, variables: Mapping[str, str]) -> int:
+    def _parse_content_length(self, variables: Mapping[str, str]) -> int:
         digits = variables.get(CONTENT_LENGTH, "")
         if not digits:
             return 0
@@ -120,30 +121,30 @@
 
 
 def decode_block(block: bytes) -> dict[str, str]:
-    """The variables of a block.
+    """Return the variables of a block.
 
     Raises:
         StreamError: the block is malformed.
     """
-    text = block.decode("latin-1")  # at once: each byte is one character
+    text = block.decode("latin-1")  # one character per byte: positions in the text are those in the block
     variables: dict[str, str] = {}
     position = 0
     while position < len(block):
-        name_end = _text_end(block, position, "name")
-        name = text[position + TEXT_SIZE.size : name_end]
+        name_end = _string_end(block, position, "name")
+        name = text[position + STRING_LENGTH.size : name_end]
         if not name or len(name) > MAX_NAME_BYTES:
             reason = "a variable without a name, or with one far too long"
             raise StreamError(HTTPStatus.BAD_REQUEST, reason)
         if name in variables:
             raise StreamError(HTTPStatus.BAD_REQUEST, f"{name}: twice in one request")
-        position = _text_end(block, name_end, "value")
-        variables[name] = text[name_end + TEXT_SIZE.size : position]
+        position = _string_end(block, name_end, "value")
+        variables[name] = text[name_end + STRING_LENGTH.size : position]
     return variables
 
 
-def _text_end(block: bytes, position: int, kind: str) -> int:
-    """Where the text ends whose length stands at that position."""
-    start = position + TEXT_SIZE.size
+def _string_end(block: bytes, position: int, kind: str) -> int:
+    """Return the end of the string whose length is at this position; `kind` is used in error messages."""
+    start = position + STRING_LENGTH.size
     if start > len(block):
         raise StreamError(HTTPStatus.BAD_REQUEST, f"a {kind} whose length is past the block's end")
     end = start + block[position] + (block[position + 1] << 8)
@@ -153,16 +154,16 @@
 
 
 def encode(variables: Mapping[str, str], body: bytes = b"") -> bytes:
-    """One request; its CONTENT_LENGTH is that of the body.
+    """Return the bytes of a request; CONTENT_LENGTH is set to the length of the body.
 
     Raises:
-        ValueError: the variables exceed a packet.
+        ValueError: the variables do not fit in a packet.
     """
     chunks = []
     for name, value in ({**variables, CONTENT_LENGTH: str(len(body))}).items():
         for text in (name, value):
             data = text.encode("latin-1", "replace")
-            chunks += [TEXT_SIZE.pack(len(data)), data]
+            chunks += [STRING_LENGTH.pack(len(data)), data]
     block = b"".join(chunks)
     if len(block) >= BLOCK_SIZE_LIMIT:
         raise ValueError("variables over 64 KiB")
--- a/tests/protocol/test_agent_codec.py
+++ b/tests/protocol/test_agent_codec.py
@@ -1,4 +1,4 @@
-"""The agent's codec: notices split at every byte, malformed lines, commands."""
+"""The codec of the agent's protocol: notices split at every byte, malformed lines, commands."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from shelfhaven.protocol import agent
-from tests.protocol.splitting import pieces
+from tests.protocol.splitting import split_at
 
 NOTICES = (
     b"greeting LOADED 1500\r\n"
@@ -35,11 +35,11 @@
     ]
     for position in range(len(NOTICES) + 1):
         parser = agent.NoticeParser()
-        assert [n for piece in pieces(NOTICES, position) for n in parser.feed(piece)] == expected
+        assert [notice for part in split_at(NOTICES, position) for notice in parser.feed(part)] == expected
 
 
 @pytest.mark.parametrize(
-    ("line", "concerned"),
+    ("line", "run_id"),
     [
         (b"", ""),
         (b"what is this", ""),
@@ -51,10 +51,10 @@
         (b"outcome x 9b1f03aa5c7e2d41 PASS 1 0\r\n", "9b1f03aa5c7e2d41"),
     ],
 )
-def test_a_malformed_line_names_the_run_it_may_concern(line: bytes, concerned: str) -> None:
+def test_a_malformed_line_names_the_run_that_it_may_be_about(line: bytes, run_id: str) -> None:
     (notice,) = agent.NoticeParser().feed(line + b"\r\n")
     assert isinstance(notice, agent.MalformedLine)
-    assert notice.run_id == concerned
+    assert notice.run_id == run_id
 
 
 @pytest.mark.parametrize(
@@ -66,12 +66,12 @@
         b"request 1 a 1\r\nxyz",
     ],
 )
-def test_a_length_that_cannot_be_trusted_breaks_the_link(data: bytes) -> None:
+def test_an_endless_line_or_an_invalid_length_raises_a_stream_error(data: bytes) -> None:
     with pytest.raises(agent.StreamError):
         agent.NoticeParser().feed(data)
 
 
-def test_commands() -> None:
+def test_commands_are_encoded_with_their_body_lengths() -> None:
     assert agent.encode_subscription(7) == b"subscribe 7\r\n"
     assert agent.encode_command(agent.LaunchRun("ab", "top-up", b"\r\n")) == b"launch ab top-up 2\r\n\r\n\r\n"
     assert agent.encode_command(agent.DeliverCallReply("ab", b"")) == b"deliver ab 0\r\n\r\n"
--- a/tests/protocol/test_framing.py
+++ b/tests/protocol/test_framing.py
@@ -1,4 +1,4 @@
-"""The length that is announced before a body."""
+"""Parsing of the length that precedes a body."""
 
 from __future__ import annotations
 
@@ -23,5 +23,7 @@
         (b"9" * 5000, None),
     ],
 )
-def test_length_is_ascii_digits_up_to_the_limit(digits: bytes, length: int | None) -> None:
+def test_a_length_consists_of_ascii_digits_and_is_at_most_the_limit(
+    digits: bytes, length: int | None
+) -> None:
     assert parse_length(digits, 100) == length
--- a/tests/protocol/test_http_codec.py
+++ b/tests/protocol/test_http_codec.py
@@ -1,4 +1,4 @@
-"""The HTTP codec: responses split at every byte, unreadable ones, and those that end with the connection."""
+"""The HTTP codec: responses split at every byte, invalid ones, and those that end with their connection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from shelfhaven.protocol import http
-from tests.protocol.splitting import pieces
+from tests.protocol.splitting import split_at
 
 ACCEPTED = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nab\r\n\r\n"
 REJECTION = b"HTTP/1.1 503 Busy\r\nx-untouched:1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -19,15 +19,19 @@
     ("data", "response"),
     [(ACCEPTED, http.Response(200, False, b"ab\r\n\r\n")), (REJECTION, http.Response(503, True, b""))],
 )
-@pytest.mark.parametrize("more", [b"", ACCEPTED, b"noise\r\n\r\n"])
+@pytest.mark.parametrize("trailing", [b"", ACCEPTED, b"noise\r\n\r\n"])
 def test_a_response_split_at_every_byte_is_parsed_the_same_whatever_follows(
-    data: bytes, response: http.Response, more: bytes
+    data: bytes, response: http.Response, trailing: bytes
 ) -> None:
     for position in range(len(data) + 1):
         parser = http.ResponseParser()
-        first, second = pieces(data, position) if 0 < position < len(data) else (data, b"")
-        got = parser.feed(first + more) if not second else parser.feed(first) or parser.feed(second + more)
-        assert got == response
+        first, second = split_at(data, position) if 0 < position < len(data) else (data, b"")
+        parsed = (
+            parser.feed(first + trailing)
+            if not second
+            else parser.feed(first) or parser.feed(second + trailing)
+        )
+        assert parsed == response
 
 
 @pytest.mark.parametrize(
@@ -88,7 +92,7 @@
 
 
 @pytest.mark.parametrize("data", TRUNCATED)
-def test_a_truncated_response_is_none(data: bytes) -> None:
+def test_a_truncated_response_is_not_returned(data: bytes) -> None:
     parser = http.ResponseParser(read_until_close=True)
     assert parser.feed(data) is None
     assert parser.close() is None
@@ -104,7 +108,7 @@
         b"\x00\x00\x00 nonsense\r\n\r\n",
     ],
 )
-def test_a_response_is_read_in_bounded_memory(data: bytes) -> None:
+def test_a_response_over_the_size_limits_raises_a_stream_error(data: bytes) -> None:
     parser = http.ResponseParser(read_until_close=True, max_body_bytes=1000)
     with pytest.raises(http.StreamError):
         parser.feed(data)
--- a/tests/protocol/test_jsonrpc_codec.py
+++ b/tests/protocol/test_jsonrpc_codec.py
@@ -1,4 +1,4 @@
-"""The routers' codec: split at every byte, wrong parameters, arbitrary input."""
+"""The codec of the routers' protocol: streams split at every byte, invalid parameters, arbitrary input."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from shelfhaven.protocol import jsonrpc
-from tests.protocol.splitting import pieces
+from tests.protocol.splitting import split_at
 
 PARAMS: dict[str, Any] = {
     "call": "9b1f03aa5c7e2d41",
@@ -34,8 +34,8 @@
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-def call(**changes: Any) -> dict[str, Any]:
-    """A request with parameters changed, or left out where the change is None."""
+def request_message(**changes: Any) -> dict[str, Any]:
+    """Return a request with changed parameters; those changed to None are left out."""
     params = {name: value for name, value in (PARAMS | changes).items() if value is not None}
     return {"jsonrpc": "2.0", "id": 7, "method": "checkout", "params": params}
 
@@ -45,18 +45,18 @@
 
 
 def test_frames_split_at_every_byte_are_parsed_the_same() -> None:
-    stream = frame(call()) + frame({"jsonrpc": "2.0", "id": 8, "method": "alive"}) + frame(b"{}")
+    stream = frame(request_message()) + frame({"jsonrpc": "2.0", "id": 8, "method": "alive"}) + frame(b"{}")
     expected = list(jsonrpc.FrameParser().feed(stream))
     assert len(expected) == 3
     for position in range(len(stream) + 1):
         parser = jsonrpc.FrameParser()
-        assert [body for piece in pieces(stream, position) for body in parser.feed(piece)] == expected
+        assert [body for piece in split_at(stream, position) for body in parser.feed(piece)] == expected
     parser = jsonrpc.FrameParser()
     assert [body for end in range(len(stream)) for body in parser.feed(stream[end : end + 1])] == expected
 
 
 def test_a_request_is_decoded_completely() -> None:
-    request = decode(call())
+    request = decode(request_message())
     assert isinstance(request, jsonrpc.Request)
     assert (request.id, request.class_name, request.attempt_id, request.body) == (
         7,
@@ -116,14 +116,14 @@
         {"body": base64.b64encode(b"x" * 2049).decode()},
     ],
 )
-def test_a_wrong_parameter_is_answered_by_id(changes: dict[str, Any]) -> None:
-    message = decode(call(**changes))
+def test_an_invalid_parameter_is_named_in_the_answer(changes: dict[str, Any]) -> None:
+    message = decode(request_message(**changes))
     assert isinstance(message, jsonrpc.InvalidMessage)
     assert (message.id, message.code) == (7, jsonrpc.INVALID_PARAMS)
     assert message.message.partition(":")[0] in changes
 
 
-def test_wrong_requests_with_an_id_are_answered_by_id() -> None:
+def test_invalid_requests_with_an_id_are_answered_by_id() -> None:
     for message, code in [
         ({"id": 7, "method": "checkout", "params": PARAMS}, jsonrpc.INVALID_REQUEST),
         ({"jsonrpc": "2.0", "id": 7}, jsonrpc.INVALID_REQUEST),
@@ -139,12 +139,12 @@
     "body",
     [b"{", b"[]", b"5", b'{"id":"a","method":"alive"}', b'{"id":0}', b'{"id":true}', b'{"id":1.5}', b"\xff"],
 )
-def test_a_message_without_a_readable_id_breaks_the_stream(body: bytes) -> None:
+def test_a_message_without_a_readable_id_raises_a_stream_error(body: bytes) -> None:
     with pytest.raises(jsonrpc.StreamError):
         jsonrpc.decode(body)
 
 
-def test_cancellation_is_the_one_notification_and_other_messages_need_an_id() -> None:
+def test_only_a_cancellation_needs_no_id() -> None:
     assert decode(
         {"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 3}}
     ) == jsonrpc.CancelRequest(3)
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(
-    "head",
+    "header",
     [
         b"Content-Length: 20000\r\n\r\n",
         b"Content-Length: -1\r\n\r\n",
@@ -169,32 +169,34 @@
         b"x" * 2000,
     ],
 )
-def test_a_head_without_a_usable_length_breaks_the_stream(head: bytes) -> None:
+def test_a_header_without_a_valid_length_raises_a_stream_error(header: bytes) -> None:
     with pytest.raises(jsonrpc.StreamError):
-        list(jsonrpc.FrameParser().feed(head))
+        list(jsonrpc.FrameParser().feed(header))
 
 
-def _answer(data: bytes) -> dict[str, Any]:
+def decode_answer(data: bytes) -> dict[str, Any]:
     (body,) = jsonrpc.FrameParser().feed(data)
     answer = orjson.loads(body)
     assert isinstance(answer, dict)
     return answer
 
 
-def test_answers() -> None:
-    assert _answer(jsonrpc.encode_result(7, b"\x00r", 0.5)) == {
+def test_answers_are_encoded_with_load_and_retry_advice() -> None:
+    assert decode_answer(jsonrpc.encode_result(7, b"\x00r", 0.5)) == {
         "jsonrpc": "2.0",
         "id": 7,
         "result": {"body": base64.b64encode(b"\x00r").decode(), "load": 0.5},
     }
-    assert _answer(jsonrpc.encode_error(7, jsonrpc.REJECTED, "refused", None, 250.0, True))["error"] == {
+    assert decode_answer(jsonrpc.encode_error(7, jsonrpc.REJECTED, "refused", None, 250.0, True))[
+        "error"
+    ] == {
         "code": -32000,
         "message": "refused",
         "data": {"pushback": 250.0, "stop": 1},
     }
-    assert "data" not in _answer(jsonrpc.encode_error(7, jsonrpc.FAILED, "given up", None))["error"]
-    assert _answer(jsonrpc.encode_health(7, False, 0.0))["result"] == {"green": False, "load": 0.0}
-    assert _answer(jsonrpc.SHUTDOWN_NOTICE) == {"jsonrpc": "2.0", "method": "shutdown"}
+    assert "data" not in decode_answer(jsonrpc.encode_error(7, jsonrpc.FAILED, "given up", None))["error"]
+    assert decode_answer(jsonrpc.encode_health(7, False, 0.0))["result"] == {"green": False, "load": 0.0}
+    assert decode_answer(jsonrpc.SHUTDOWN_NOTICE) == {"jsonrpc": "2.0", "method": "shutdown"}
 
 
 @given(
@@ -205,7 +207,7 @@
 )
 def test_arbitrary_parameters_are_decoded_or_answered(value: Any) -> None:
     for name in PARAMS:
-        message = decode(call(**{name: value}))
+        message = decode(request_message(**{name: value}))
         assert isinstance(message, jsonrpc.Request | jsonrpc.InvalidMessage)
         assert message.id == 7
 
