--- a/shelfhaven/frontends/__init__.py
+++ b/shelfhaven/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""How requests come in: one file a protocol, each turning it into the messages of server/messages.py."""
+"""Frontends: one module for each protocol of the callers, translating it to the messages of the core."""
--- a/shelfhaven/frontends/consulting.py
+++ b/shelfhaven/frontends/consulting.py
@@ -1,11 +1,10 @@
-"""What the frontends for proxies share, whatever protocol the proxy speaks.
+"""Base classes of the frontends for proxies, independent of the protocol.
 
-A proxy asks whether it may forward a request (Envoy calls that external processing or authorization).  A
-`ProxyListener` bounds the consultations that are open; a `ConsultationSession` is one of them: it carries the
-messages of its proxy, the answers of the core and the passing of time to the state machine in
-`routing/processor_policy.py`, which decides, and carries out the actions that it returns.
-
-Neither class decides anything or knows a protocol: decoding and encoding are their subclasses'.
+A proxy asks whether it may forward a request; Envoy calls this external processing or external authorization.
+Such a question is a consultation here, and its answer the verdict.  A `ProxyListener` limits the number of
+open consultations.  A `ConsultationSession` serves one of them: it passes the proxy's messages, the core's
+answers and timeouts to the state machine in `routing/processor_policy.py`, which makes the decisions, and
+carries out the actions that this returns.  Subclasses decode and encode the messages of a protocol.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from typing import NamedTuple
 
 from shelfhaven.backends.proxy import ProxyRunner
-from shelfhaven.frontends.connection import ToCore
+from shelfhaven.frontends.connection import NotifyCore
 from shelfhaven.operator_config import Listen
 from shelfhaven.routing import processor_policy, stream_admission
 from shelfhaven.routing.request_mapping import RequestMapping
@@ -28,42 +27,46 @@
 from shelfhaven.server.log import Log
 
 ATTEMPT_ID_BYTES = 8
-TICK_INTERVAL_S = 0.02  # between measurements of the event-loop lag
-LAG_MEMORY_S = 0.05  # for which a pause of the event loop still counts
-REQUEST_REF = 1  # the only request of its session
+MEASUREMENT_INTERVAL_S = 0.02  # between measurements of the event-loop lag and the CPU time
+LAG_RETENTION_S = 0.05  # during which a pause of the event loop still counts
+REQUEST_REF = 1  # reference of the only request of a session
 BYTES_PER_KB = 1024
-FULL_RETRY_AFTER_S = 1.0  # told to a caller when no further consultation is admitted
-SHED_FRACTION_DIGITS = 2  # in the log
+OVERLOAD_RETRY_AFTER_S = 1.0  # sent to a proxy whose consultation is not admitted
+SHED_FRACTION_DIGITS = 2  # decimal places in the log
 
 
 @dataclass(frozen=True)
 class ProxyListenerContext:
-    """What all listeners for proxies of one server share.
+    """The objects and settings that all listeners for proxies of one server share.
 
     Attributes:
-        runner: the runner that stands for what the proxies run.
+        runner: the runner that represents the runs of the proxies.
         notify_core: sends a message to the core.
         log: the server's log.
-        is_healthy: whether health checks are answered with success.
-        cores: CPU cores that this server may use.
+        is_healthy: tells whether health checks are answered with success.
+        cores: number of CPU cores that this server may use.
     """
 
     runner: ProxyRunner
-    notify_core: ToCore
+    notify_core: NotifyCore
     log: Log
     is_healthy: Callable[[], bool]
     cores: float
 
 
 class AnswerCountKey(NamedTuple):
-    """What answers are counted by."""
+    """The key by which answers are counted."""
 
     class_index: int
-    kind: str  # of `messages.ANSWER_KINDS`
+    kind: str  # one of `messages.ANSWER_KINDS`
 
 
 class ProxyListener(ABC):
-    """Actor of one listener for proxies: it admits consultations and counts them."""
+    """Actor of one listener for proxies; it limits and counts consultations.
+
+    Attributes:
+        answer_counts: answers of the core since they were last logged.
+    """
 
     def __init__(self, listen: Listen, mapping: RequestMapping, context: ProxyListenerContext) -> None:
         self.listen = listen
@@ -74,10 +77,10 @@
         self.is_healthy = context.is_healthy
         self.settings = listen.consult
         self.streams = stream_admission.StreamLimits(self.settings)
-        self.loop_lag = stream_admission.LoopLag(TICK_INTERVAL_S, LAG_MEMORY_S)
+        self.loop_lag = stream_admission.LoopLag(MEASUREMENT_INTERVAL_S, LAG_RETENTION_S)
         self.load_shedder = stream_admission.LoadShedder(context.cores)
-        self.answer_counts: Counter[AnswerCountKey] = Counter()  # since they were last logged
-        self.tick_timer: asyncio.TimerHandle | None = None
+        self.answer_counts: Counter[AnswerCountKey] = Counter()
+        self.load_timer: asyncio.TimerHandle | None = None
         self.draining = False
 
     @abstractmethod
@@ -89,23 +92,23 @@
         """
 
     def begin_drain(self) -> None:
-        """Begin the graceful shutdown: proxies are told, and what they ask is still answered."""
+        """Begin the graceful shutdown; requests of proxies are still answered."""
         self.draining = True
 
     @abstractmethod
     def stop_listening(self, time_left: float) -> None:
-        """Accept nothing new; what is open may end within `time_left` seconds."""
+        """Accept no new connections or streams; open ones have `time_left` seconds to end."""
 
     @abstractmethod
     async def end(self) -> None:
-        """End what is still open."""
+        """Close all open connections and streams."""
 
     def admit(self) -> bool:
-        """Count one more consultation, if there is capacity and time for it."""
+        """Admit and count one more consultation, unless the server is at its limit or overloaded."""
         return self.streams.admit(self.loop_lag.mean_lag, self.load_shedder.sheds_next())
 
     def open_requests(self) -> int:
-        """Return how many consultations are open."""
+        """Return the number of open consultations."""
         return self.streams.open_streams
 
     def count_answer(self, class_index: int, answer: messages.Answer) -> None:
@@ -113,7 +116,7 @@
         self.answer_counts[AnswerCountKey(class_index, messages.ANSWER_KINDS[type(answer)])] += 1
 
     def load_now(self) -> dict[str, float]:
-        """Return the open streams, the rejections and the answers since the last call, for the log."""
+        """Return the load figures for the log; answers are those since the last call."""
         answer_counts = self.answer_counts
         self.answer_counts = Counter()
         load: dict[str, float] = {
@@ -125,27 +128,27 @@
             load[f"{key.class_index} {key.kind}"] = count
         return load
 
-    def _start_measuring(self) -> None:
-        """Measure the event-loop lag and the CPU time from now on, at every tick."""
+    def _measure_load(self) -> None:
+        """Measure the event-loop lag and the CPU time, now and periodically."""
         now = time.monotonic()
         self.loop_lag.tick(now)
         self.load_shedder.update(now, time.process_time())
-        self.tick_timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_S, self._start_measuring)
+        self.load_timer = asyncio.get_running_loop().call_later(MEASUREMENT_INTERVAL_S, self._measure_load)
 
-    def _stop_measuring(self) -> None:
-        if self.tick_timer:
-            self.tick_timer.cancel()
+    def _stop_load_measurement(self) -> None:
+        if self.load_timer:
+            self.load_timer.cancel()
 
 
 class ConsultationSession(ABC):
-    """One consultation: a frontend to the core, and a running consultation to the proxy runner.
+    """One consultation; the core sees it as a frontend, the proxy runner as a running consultation.
 
     Attributes:
-        attempt_id: the random name by which the core and the proxy runner know it.
-        verdict: the encoded verdict, once the core was asked.
-        lease_timer: ends a run that nothing is reported of.
-        load: the load level that came with the core's answer.
-        submitted: what the core is asked, once the request is mapped.
+        attempt_id: the random id by which the core and the proxy runner refer to it.
+        verdict: resolves to the encoded verdict; created when the request is submitted to the core.
+        lease_timer: ends the run if the proxy does not report its end in time.
+        load: the advertised load that came with the core's answer.
+        submission: the request to the core, once the proxy's request has been mapped.
     """
 
     def __init__(self, listener: ProxyListener, peer: str) -> None:
@@ -163,28 +166,31 @@
         self.verdict: asyncio.Future[bytes] | None = None
         self.lease_timer: asyncio.TimerHandle | None = None
         self.load: float | None = None
-        self.submitted: messages.SubmitRequest | None = None
+        self.submission: messages.SubmitRequest | None = None
 
     @abstractmethod
     def _encode_continue(
         self, verdict: processor_policy.Continue, launch: messages.LaunchRun | None
     ) -> bytes:
-        """Return the verdict for a request that may go on; without `launch` the core did not admit it."""
+        """Encode the verdict that lets the proxy forward the request.
+
+        `launch` is None if the core did not admit the request, which belongs to a shadow class then.
+        """
 
     @abstractmethod
     def _encode_immediate(self, verdict: processor_policy.ImmediateResponse) -> bytes:
-        """Return the verdict for a request that the proxy answers itself."""
+        """Encode the verdict by which the proxy answers the request itself."""
 
     def launched(self, launch: messages.LaunchRun) -> None:
-        """Take the core's permission to run."""
+        """Handle the core's permission to run the request."""
         self._execute(self.consultation.launched(time.monotonic()), launch)
 
     def answer(self, answer: messages.Answer) -> None:
-        """Take the core's answer: the verdict if there was none yet, else the end of what the core owes."""
+        """Handle the core's answer, which determines the verdict unless that has been given."""
         now = time.monotonic()
         self.load = answer.load
-        if self.submitted:
-            self.listener.count_answer(self.submitted.class_index, answer)
+        if self.submission:
+            self.listener.count_answer(self.submission.class_index, answer)
         match answer:
             case messages.ServedAnswer():
                 self._execute(self.consultation.served(answer.body))
@@ -196,13 +202,13 @@
                 pass
 
     def closed(self) -> None:
-        """Take the end of what the proxy sends."""
+        """Handle the end of the consultation by the proxy."""
         self._execute(self.consultation.closed(time.monotonic()))
         self.listener.runner.consultations.pop(self.attempt_id, None)
         self._cancel_lease()
 
-    def _map(self, variables: Mapping[str, str]) -> None:
-        """Map the request's variables to what the core is asked.
+    def _map_request(self, variables: Mapping[str, str]) -> None:
+        """Map the request's variables to a request to the core.
 
         Raises:
             MappingError: the request cannot be mapped.
@@ -211,7 +217,7 @@
         mapped = self.listener.mapping.map_request(time.monotonic(), variables, self.peer, 0)
         self.consultation.has_idempotency_key = bool(mapped.idempotency_key)
         self.consultation.is_shadow = mapped.class_index in settings.shadow_classes
-        self.submitted = messages.SubmitRequest(
+        self.submission = messages.SubmitRequest(
             frontend=self,
             request_ref=REQUEST_REF,
             attempt_id=self.attempt_id,
@@ -240,9 +246,12 @@
         )
 
     async def _submit(self, body: bytes) -> bytes:
-        """Ask the core and wait for the encoded verdict; the core's timers see to it that one comes."""
-        assert self.submitted, "a request is mapped before it is submitted"
-        request = self.submitted
+        """Submit the request to the core and return the encoded verdict.
+
+        There always is one, as the core's timers bound the time of its answer.
+        """
+        assert self.submission, "the request must be mapped before it is submitted"
+        request = self.submission
         if body:
             footprint_kb = request.footprint_kb + len(body) / BYTES_PER_KB
             request = replace(request, body=body, footprint_kb=footprint_kb)
@@ -254,7 +263,7 @@
     def _execute(
         self, actions: list[processor_policy.Action], launch: messages.LaunchRun | None = None
     ) -> None:
-        """Carry out what follows from the core's answers, from time and from the stream's end."""
+        """Carry out the state machine's actions; `launch` is the permission that led to them, if any."""
         for action in actions:
             match action:
                 case processor_policy.Continue():
--- a/shelfhaven/frontends/extproc.py
+++ b/shelfhaven/frontends/extproc.py
@@ -1,11 +1,11 @@
-"""The frontend for proxies that speak the external-processing service: gRPC, one stream for each request.
+"""The frontend for proxies that use the external-processing service: gRPC, with one stream for each request.
 
-Owns the gRPC server and its streams.  It decides nothing: what a message means for the verdict and for the
-run is decided in `routing/processor_policy.py`, what a request asks for by the mapping, whether it may run by
-the core.  Each message of a proxy gets one response on its stream; a verdict is sent at once.
+This module runs the gRPC server and serves its streams.  Each message of a proxy gets one response on its
+stream; a verdict is sent as soon as it is known.  Decisions are made elsewhere: the mapping determines what a
+request asks for, the core whether it may run, and `routing/processor_policy.py` what a message means for the
+verdict and for the run.
 
-gRPC and protobuf are third-party libraries that cost start-up time and memory: this module is imported only
-where a listener asks for it.
+gRPC and protobuf take start-up time and memory, so this module is imported only if a listener needs it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from shelfhaven.errors import ShelfhavenError
 from shelfhaven.frontends import extproc_messages
 from shelfhaven.frontends.consulting import (
-    FULL_RETRY_AFTER_S,
+    OVERLOAD_RETRY_AFTER_S,
     ConsultationSession,
     ProxyListener,
     ProxyListenerContext,
@@ -43,29 +43,29 @@
 NOT_SERVING = b"\x08\x02"
 MAX_MESSAGE_BYTES = 1 << 20
 MAX_METADATA_BYTES = 32 * 1024
-TRACEBACK_FRAMES = -4  # the innermost ones
+TRACEBACK_FRAMES = -4  # a negative limit keeps the innermost frames
 
-# The library's own bounds, as multiples of the streams that are admitted.  They lie above those, as the
-# library would reject streams at random from the first bound on, whichever proxy sent them.
+# Limits of the gRPC library, as multiples of the number of streams that this server admits.  They are above
+# that number, as the library rejects streams at random from its first limit on, whichever proxy sent them.
 CONCURRENT_STREAMS_FACTOR = 2
 PENDING_REQUESTS_FACTOR = 5
 PENDING_REQUESTS_HARD_FACTOR = 10
 
-# What is read is a message's bytes or the library's marker of the stream's end, which has no public type.
+# Reading yields the bytes of a message or `grpc.aio.EOF`, which has no public type.
 StreamContext: TypeAlias = "grpc.aio.ServicerContext[object, bytes]"
 
 
 class UnexpectedMessageError(ShelfhavenError):
-    """A message that may not come at this point of its stream."""
+    """A message is not allowed at this point of its stream."""
 
 
 class ExternalProcessingStream(ConsultationSession):
     """One stream of the external-processing service.
 
     Attributes:
-        buffered_bytes: bytes of a body that are counted as buffered by the listener.
-        headers_received: whether the request's headers came, which begin a stream.
-        body_requested: whether the proxy was asked for the request's complete body.
+        buffered_bytes: bytes of this stream that the listener counts as buffered.
+        headers_received: whether the request headers, with which a stream begins, have been received.
+        body_requested: whether the proxy was asked to send the complete request body.
     """
 
     def __init__(self, listener: ProxyListener, peer: str) -> None:
@@ -75,11 +75,11 @@
         self.body_requested = False
 
     async def respond_to(self, data: bytes) -> bytes | None:
-        """Return the response to one message; None where it needs none.
+        """Return the response to one message; None if it needs none.
 
         Raises:
             DecodeError: the message cannot be decoded.
-            UnexpectedMessageError: the message may not come now.
+            UnexpectedMessageError: the message is not allowed at this point.
         """
         request = ProcessingRequest.FromString(data)
         kind = extproc_messages.message_kind(request)
@@ -93,7 +93,7 @@
         return await self._respond(actions, kind)
 
     def closed(self) -> None:
-        """Take the end of the stream."""
+        """Handle the end of the stream."""
         super().closed()
         self.listener.streams.reserve_bytes(-self.buffered_bytes)
 
@@ -121,7 +121,7 @@
             raise UnexpectedMessageError("request headers a second time")
         self.headers_received = True
         try:
-            self._map(extproc_messages.cgi_variables(headers.headers))
+            self._map_request(extproc_messages.cgi_variables(headers.headers))
         except MappingError as error:
             return self.consultation.unmappable(error.status, str(error))
         return self.consultation.request_headers(headers.end_of_stream)
@@ -135,7 +135,7 @@
         return self.consultation.response_headers(now, status, not_run, headers.end_of_stream)
 
     def _update_buffered_bytes(self, now: float) -> list[processor_policy.Action]:
-        """Count what is buffered of a body now; without capacity for it, nothing is."""
+        """Update the count of buffered bytes; if that exceeds the limit, stop buffering this body."""
         streams = self.listener.streams
         actions: list[processor_policy.Action] = []
         if not streams.reserve_bytes(len(self.consultation.body) - self.buffered_bytes):
@@ -146,7 +146,7 @@
         return actions
 
     async def _respond(self, actions: list[processor_policy.Action], kind: MessageKind) -> bytes | None:
-        """Return the response to the message in hand, which may have to wait for the verdict."""
+        """Carry out actions and return the response among them, after waiting for the verdict if need be."""
         response: bytes | None = None
         for action in actions:
             match action:
@@ -172,19 +172,19 @@
     def _encode_continue(
         self, verdict: processor_policy.Continue, launch: messages.LaunchRun | None
     ) -> bytes:
-        """Return the verdict as the response to the message that it was awaited with."""
+        """Encode the verdict as the response to the message that waits for it: the headers or the body."""
         time_left = launch.time_left if launch else None
         return extproc_messages.encode_continue(verdict, time_left, self.load, self.body_requested)
 
 
 class ExternalProcessingListener(ProxyListener):
-    """Actor of one listener for proxies that speak the external-processing service.
+    """Actor of one listener for proxies that use the external-processing service.
 
     Attributes:
-        rejection: the response to a stream that is not admitted, encoded once.  It does not promise that a
-            retry is safe, as the stream is not read.
-        port: the port that the server is bound to, once it is started.
-        stopping: the server's graceful stop, once it has begun.
+        rejection: the encoded response to a stream that is not admitted.  It does not promise that a retry is
+            safe, as the request is not read.
+        port: the port that the server is bound to, once it has started.
+        stopping: the graceful stop of the server, once it has begun.
     """
 
     def __init__(self, listen: Listen, mapping: RequestMapping, context: ProxyListenerContext) -> None:
@@ -193,7 +193,7 @@
             HTTPStatus.SERVICE_UNAVAILABLE,
             "not looked at: too many consultations",
             not_run=False,
-            retry_after=FULL_RETRY_AFTER_S,
+            retry_after=OVERLOAD_RETRY_AFTER_S,
         )
         self.rejection = extproc_messages.encode_immediate(verdict, load=None, content_type="")
         self.server: grpc.aio.Server | None = None
@@ -212,16 +212,16 @@
         except RuntimeError as error:
             raise OSError(str(error)) from error
         await self.server.start()
-        self._start_measuring()
+        self._measure_load()
 
     def stop_listening(self, time_left: float) -> None:
-        """Accept no new stream, announce that on each connection, and let open streams end."""
+        """Accept no new streams, announce that on each connection, and let open streams end."""
         if self.server and not self.stopping:
             self.stopping = asyncio.ensure_future(self.server.stop(time_left))
 
     async def end(self) -> None:
-        """End what is still open."""
-        self._stop_measuring()
+        """Close all open streams."""
+        self._stop_load_measurement()
         if self.server:
             await self.server.stop(0)
 
@@ -255,15 +255,15 @@
         return server.add_insecure_port(target)
 
     async def _check_health(self, _request: bytes, _context: StreamContext) -> bytes:
-        """Answer a health check: from the drain on this server is not serving.
+        """Answer a health check; during a drain the answer is NOT_SERVING.
 
-        A stream that crosses the end of the listener would get no verdict, so proxies are given the time to
-        go elsewhere; streams that come during the drain get theirs.
+        A stream that is opened just as the listener closes would get no verdict, so proxies get time to turn
+        to other servers.  Streams opened during the drain still get a verdict.
         """
         return SERVING if self.is_healthy() and not self.draining else NOT_SERVING
 
     async def _process(self, _requests: object, context: StreamContext) -> None:
-        """Serve one stream; its end is passed on, whatever ends it."""
+        """Serve one stream and handle its end, however it ends."""
         if not self.admit():
             if await context.read() is not grpc.aio.EOF:
                 await context.write(self.rejection)
@@ -271,7 +271,7 @@
         stream = ExternalProcessingStream(self, _peer_host(context.peer()))
         try:
             await self._serve(stream, context)
-        except TimeoutError:  # a proxy that sends or reads nothing must not hold resources
+        except TimeoutError:  # releases the resources of a proxy that has stopped sending or reading
             self.log.event("proxy_stalls", peer=stream.peer, stage=stream.consultation.stage.value)
             with contextlib.suppress(grpc.aio.AbortError):
                 await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "nothing was sent or taken in time")
@@ -289,7 +289,11 @@
             stream.closed()
 
     async def _serve(self, stream: ExternalProcessingStream, context: StreamContext) -> None:
-        """Respond to each message until the proxy ends the stream."""
+        """Respond to messages until the proxy ends the stream.
+
+        Raises:
+            TimeoutError: a message did not come, or a response was not taken, in time.
+        """
         while (data := await self._read(stream, context)) is not None:
             response = await stream.respond_to(data)
             if response:
@@ -297,10 +301,10 @@
                     await context.write(response)
 
     async def _read(self, stream: ExternalProcessingStream, context: StreamContext) -> bytes | None:
-        """Return the next message, None at the stream's end.
+        """Return the next message; None at the end of the stream.
 
         Raises:
-            TimeoutError: a message that comes before the verdict did not come in time.
+            TimeoutError: a message that is needed for the verdict did not come in time.
         """
         timeout = None if stream.consultation.has_verdict else self.listen.request_timeout
         async with asyncio.timeout(timeout):
@@ -312,6 +316,6 @@
 
 
 def _peer_host(peer: str) -> str:
-    """Return the host of a peer such as `ipv4:127.0.0.1:5000`, or the kind of its socket."""
+    """Return the host of an IP peer such as `ipv4:127.0.0.1:5000`; for others the scheme, such as `unix`."""
     kind, _, address = peer.partition(":")
     return address.rpartition(":")[0] if kind in ("ipv4", "ipv6") else kind
--- a/shelfhaven/frontends/extproc_messages.py
+++ b/shelfhaven/frontends/extproc_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the external-processing service (Envoy's `ext_proc`): what is read from and sent to a proxy.
+"""Decoding and encoding of the messages of the external-processing service (Envoy's `ext_proc`).
 
-Pure functions on protobuf messages, without state, I/O or a clock.  Importing this module imports protobuf.
+The functions here are pure.  Importing this module imports protobuf.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 SEND = mode_pb2.ProcessingMode.SEND
 MILLISECONDS_PER_SECOND = 1000
 STATUS_DIGITS = 3
-UNKNOWN_STATUS = 0  # of a response without a readable status; the policy takes it as a success
+UNKNOWN_STATUS = 0  # for a response without a valid status; the policy treats it as a success
 
 HeaderField: TypeAlias = tuple[str, str]
 ProcessingRequest: TypeAlias = extproc_pb2.ProcessingRequest
@@ -26,7 +26,7 @@
 
 
 class MessageKind(Enum):
-    """Kinds of messages of a proxy, under their names in the protocol."""
+    """Kinds of messages that a proxy sends; values are their names in the protocol."""
 
     REQUEST_HEADERS = "request_headers"
     REQUEST_BODY = "request_body"
@@ -36,7 +36,7 @@
     RESPONSE_TRAILERS = "response_trailers"
 
 
-# for each kind of message the response that lets it go on unchanged
+# For each kind of message, the response that lets it pass unchanged.
 PASS_THROUGH_RESPONSES = {
     MessageKind.REQUEST_HEADERS: ProcessingResponse(
         request_headers=extproc_pb2.HeadersResponse()
@@ -58,13 +58,13 @@
 
 
 def message_kind(request: ProcessingRequest) -> MessageKind | None:
-    """Return the kind of a message; None for one that this version of the protocol does not have."""
+    """Return the kind of a message; None if this version of the protocol does not define it."""
     name = request.WhichOneof("request")
     return MessageKind(name) if name else None
 
 
 def cgi_variables(headers: core_pb2.HeaderMap) -> dict[str, str]:
-    """Return headers under the names of CGI that the mapping reads; several of one name are joined."""
+    """Return the headers as CGI variables, which the mapping reads; repeated headers are joined."""
     variables: dict[str, str] = {}
     for header in headers.headers:
         value = _header_value(header)
@@ -83,7 +83,7 @@
 
 
 def response_status(headers: core_pb2.HeaderMap) -> int:
-    """Return the status of a response, `UNKNOWN_STATUS` if it has none of three digits."""
+    """Return the status of a response; `UNKNOWN_STATUS` if it has no status of three digits."""
     for header in headers.headers:
         if header.key == ":status":
             text = _header_value(header)
@@ -94,9 +94,9 @@
 def encode_immediate(
     verdict: processor_policy.ImmediateResponse, load: float | None, content_type: str
 ) -> bytes:
-    """Return the response by which the proxy answers a request itself.
+    """Return the response that has the proxy answer a request itself.
 
-    `load` is the load level to advertise, `content_type` that of a stored result.
+    `load` is the load to advertise, `content_type` the content type of a stored result.
     """
     fields = _load_fields(load)
     if verdict.not_run:
@@ -119,10 +119,10 @@
 def encode_continue(
     verdict: processor_policy.Continue, time_left: float | None, load: float | None, answers_body: bool
 ) -> bytes:
-    """Return the response that lets a request go on, with what the upstream server is told.
+    """Return the response that lets the proxy forward a request, with headers for the upstream server.
 
-    `time_left` is the request's budget in seconds, `load` the load level to advertise; `answers_body`: the
-    verdict was awaited with the request's body, not with its headers.
+    `time_left` is the request's budget in seconds and `load` the load to advertise.  With `answers_body` the
+    response answers the message with the request's body, otherwise the one with its headers.
     """
     fields: list[HeaderField] = []
     if time_left is not None:
@@ -140,7 +140,7 @@
 
 
 def encode_body_request() -> bytes:
-    """Return the response to request headers that has the proxy send both complete bodies."""
+    """Return the response to request headers that makes the proxy send both bodies, each in one message."""
     response = ProcessingResponse(request_headers=extproc_pb2.HeadersResponse())
     mode = response.mode_override
     mode.request_body_mode = BUFFERED
--- a/shelfhaven/frontends/jsonrpc.py
+++ b/shelfhaven/frontends/jsonrpc.py
@@ -1,7 +1,8 @@
-"""The routers' frontend: any number of JSON-RPC requests on a connection.
+"""The frontend for routers: JSON-RPC, with any number of requests on a connection.
 
-Owns the meaning of the protocol's messages and the ids in use on a connection.  It never answers by itself
-but to confirm a cancellation: answers come from the core.
+A `RouterConnection` translates the protocol's messages to those of the core and keeps the ids that are in use
+on its connection.  The core decides all answers, except the confirmation of a cancellation and the answer to
+a stream that cannot be read.
 """
 
 from __future__ import annotations
@@ -10,18 +11,26 @@
 
 from shelfhaven.config import Config
 from shelfhaven.decision.settings import RetrySafety
-from shelfhaven.frontends.connection import Connection, ToCore, UnreadableStreamError
+from shelfhaven.frontends.connection import Connection, NotifyCore, UnreadableStreamError
 from shelfhaven.frontends.stream import DetachableStream
 from shelfhaven.protocol import jsonrpc as wire
 from shelfhaven.server import messages
 from shelfhaven.server.log import Log
 
-MAX_UNANSWERED = 32  # requests on a connection, by the protocol
-MAX_CLOCK_DIFFERENCE_S = 60.0  # both clocks are this machine's, and no request is waited for so long
+MAX_UNANSWERED = 32  # requests on a connection; the protocol's limit
+MAX_CLOCK_DIFFERENCE_S = 60.0  # routers run on this machine, and no client waits this long for a request
 
 
 class ClassAndTenantIndex:
-    """Positions of classes and tenants in the settings, by name."""
+    """Positions of classes and tenants in the settings, by name.
+
+    Attributes:
+        classes: positions of the classes.
+        keyed_classes: positions of the classes whose requests need an idempotency key.
+        tenants: positions of the tenants.
+        max_deadline: the longest deadline of any class in seconds; no request can use an answer that is left
+            unread for longer.
+    """
 
     def __init__(self, config: Config) -> None:
         self.classes = {name: position for position, name in enumerate(config.classes)}
@@ -31,8 +40,7 @@
             if settings.retry_safety is RetrySafety.IDEMPOTENCY_KEY
         }
         self.tenants = {name: position for position, name in enumerate(config.tenants)}
-        # seconds; an answer left unread for so long is too late for any request
-        self.longest_wait = max(settings.deadline for settings in config.settings.classes)
+        self.max_deadline = max(settings.deadline for settings in config.settings.classes)
 
 
 class RouterConnection(Connection):
@@ -41,11 +49,11 @@
     liveness_probe = wire.SHUTDOWN_NOTICE
 
     def __init__(
-        self, stream: DetachableStream, index: ClassAndTenantIndex, notify_core: ToCore, log: Log
+        self, stream: DetachableStream, index: ClassAndTenantIndex, notify_core: NotifyCore, log: Log
     ) -> None:
         super().__init__(stream, notify_core, log)
         self.index = index
-        self.unread_answer_timeout = index.longest_wait
+        self.unread_answer_timeout = index.max_deadline
         self.parser = wire.FrameParser()
         self.shutdown_announced = False
 
@@ -55,36 +63,36 @@
         return bool(self.parser.unread)
 
     def _parse(self, data: bytes) -> None:
-        """Take the messages in new bytes.
+        """Parse received bytes and handle the messages in them.
 
-        A message that cannot be read ends the connection, but requests that were read with it still get
-        their answers: those before it, and those after it as far as the stream can be framed.
+        A message that cannot be read ends the connection.  Requests that were received with it still get
+        their answers: those before it, and those after it as far as the stream can be split into messages.
         """
-        fault = ""  # not the exception: kept here, it would hold this frame, and the frame the connection
+        first_error = ""  # text, as a stored exception would keep this frame and the connection alive
         try:
             for body in self.parser.feed(data):
-                self._note_message()
+                self._record_message()
                 try:
-                    self._message(wire.decode(body))
+                    self._handle_message(wire.decode(body))
                 except wire.StreamError as error:
-                    fault = fault or str(error)
+                    first_error = first_error or str(error)
         except wire.StreamError as error:
-            fault = fault or str(error)
-        if fault:
-            raise UnreadableStreamError(fault)
+            first_error = first_error or str(error)
+        if first_error:
+            raise UnreadableStreamError(first_error)
 
     def _encode_unreadable(self, _error: UnreadableStreamError) -> bytes:
         return wire.UNREADABLE_ANSWER
 
-    def _message(self, message: wire.Message) -> None:
+    def _handle_message(self, message: wire.Message) -> None:
         match message:
             case wire.Request():
-                self._request(message)
+                self._handle_request(message)
             case wire.CancelRequest():
                 if message.id in self.unanswered:
                     self.unanswered.discard(message.id)
                     self.notify_core(messages.CancelRequest(self, message.id))
-                    # not required, and harmless: the cancellation is confirmed
+                    # The protocol does not require a confirmation, but permits it.
                     self.outgoing.append(wire.encode_error(message.id, wire.CANCELLED, "taken back", None))
             case wire.HealthCheck():
                 self.carries_health_checks = True
@@ -96,10 +104,10 @@
 
     def _register(self, ref: int) -> None:
         if ref in self.unanswered:
-            raise wire.StreamError("an id that is open already")
+            raise wire.StreamError("id of a request that is still unanswered")
         self.unanswered.add(ref)
 
-    def _request(self, request: wire.Request) -> None:
+    def _handle_request(self, request: wire.Request) -> None:
         self._register(request.id)
         class_index = self.index.classes.get(request.class_name)
         if class_index is None:
@@ -115,12 +123,14 @@
         elif len(self.unanswered) > MAX_UNANSWERED:
             self._reject(request, wire.INVALID_REQUEST, "too many open requests")
         else:
-            self.notify_core(self._submission(request, class_index, tenant))
+            self.notify_core(self._build_submission(request, class_index, tenant))
 
     def _reject(self, request: wire.Request, code: int, reason: str) -> None:
         self.notify_core(messages.RejectMalformed(self, request.id, code, reason))
 
-    def _submission(self, request: wire.Request, class_index: int, tenant: int) -> messages.SubmitRequest:
+    def _build_submission(
+        self, request: wire.Request, class_index: int, tenant: int
+    ) -> messages.SubmitRequest:
         return messages.SubmitRequest(
             frontend=self,
             request_ref=request.id,
--- a/shelfhaven/frontends/listener.py
+++ b/shelfhaven/frontends/listener.py
@@ -1,7 +1,7 @@
-"""A listening socket of any frontend, and the connections accepted from it.
+"""A listening socket and the connections accepted from it, independent of the protocol.
 
-Owns the listening socket and the connections.  It never closes a connection with an unanswered request or a
-listener with a backlog, and knows no protocol.
+A `Listener` owns its socket and connections.  It accepts the whole backlog before it closes the socket.  It
+aborts a connection with an unanswered request only if the peer has not read an earlier answer in time.
 """
 
 from __future__ import annotations
@@ -29,18 +29,22 @@
 
 BACKLOG = 1024
 MIN_IDLE_CHECK_INTERVAL_S = 0.05  # between checks for idle connections
-WATCH_INTERVAL_S = 0.25  # between checks for connections that stall
-MAX_EVICTIONS = 8  # connections closed at a time when all are taken
-CLOSE_POLL_S = 0.02  # between checks for connections that can be closed at the end
-ACCEPT_BACKOFF_S = 0.05  # without accepting when descriptors run out
-REQUEST_TIMEOUT = 408  # status of an incomplete message, where a frontend has statuses
+WATCH_INTERVAL_S = 0.25  # between checks for stalled connections
+MAX_EVICTIONS = 8  # connections closed at once when no further one can be accepted
+CLOSE_POLL_S = 0.02  # between checks for connections that can be closed during a shutdown
+ACCEPT_BACKOFF_S = 0.05  # pause in accepting when descriptors run out
+REQUEST_TIMEOUT = 408  # HTTP status for an incomplete message; a frontend without statuses ignores it
 
-# makes a connection from its stream and the name of its peer
+# Returns the connection for a stream and the host of its peer.
 ConnectionFactory: TypeAlias = Callable[[DetachableStream, str], Connection]
 
 
-def _remove_stale(path: Path) -> None:
-    """Remove a socket file that nobody listens on; one in use raises as a taken port does."""
+def _remove_stale_socket_file(path: Path) -> None:
+    """Remove a socket file that no process listens on.
+
+    Raises:
+        OSError: the socket is in use; the error is that of a port in use.
+    """
     if not path.exists() or not stat.S_ISSOCK(path.stat().st_mode):
         return
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as client:
@@ -53,13 +57,13 @@
 
 
 class ListenerGroup:
-    """All listeners, for messages that go to each of them."""
+    """Forwards messages to all listeners."""
 
     def __init__(self, listeners: Sequence[Listener]) -> None:
         self.listeners = listeners
 
     def put(self, message: messages.SetIdleTimeout) -> None:
-        """Set how long idle connections stay."""
+        """Set the idle timeout of all listeners."""
         for listener in self.listeners:
             listener.put(message)
 
@@ -67,7 +71,7 @@
 class Listener:
     """Actor of one listening socket and its connections.
 
-    `max_connections` bounds the connections held at once; 0 leaves that to the descriptors.
+    `max_connections` limits the open connections; with 0 only the available descriptors limit them.
     """
 
     def __init__(
@@ -88,10 +92,10 @@
         self.socket: socket.socket | None = None
         self.accepting = False
         self.draining = False
-        self.mailbox: Mailbox[messages.SetIdleTimeout] = Mailbox(self._take, log)
-        self.idle_timeout = 0.0  # seconds; 0: as long as routers like
+        self.mailbox: Mailbox[messages.SetIdleTimeout] = Mailbox(self._set_idle_timeout, log)
+        self.idle_timeout = 0.0  # seconds; 0: no timeout
         self.idle_check_timer: asyncio.TimerHandle | None = None
-        self.watch_timer: asyncio.TimerHandle | None = None
+        self.stall_check_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         """Listen.
@@ -99,17 +103,17 @@
         Raises:
             OSError: the address cannot be bound.
         """
-        self.socket = self._bound_socket()
+        self.socket = self._create_socket()
         self._resume_accepting()
-        self._watch()
+        self._close_stalled()
 
-    def _bound_socket(self) -> socket.socket:
+    def _create_socket(self) -> socket.socket:
         family = socket.AF_UNIX if isinstance(self.address, Path) else socket.AF_INET
         listening = socket.socket(family, socket.SOCK_STREAM)
         try:
             listening.setblocking(False)
             if isinstance(self.address, Path):
-                _remove_stale(self.address)
+                _remove_stale_socket_file(self.address)
                 listening.bind(str(self.address))
             else:
                 listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -123,33 +127,33 @@
     def _resume_accepting(self) -> None:
         if self.socket and not self.accepting:
             self.accepting = True
-            IOLoop.current().add_handler(self.socket, self._ready, IOLoop.READ)
+            IOLoop.current().add_handler(self.socket, self._on_readable, IOLoop.READ)
 
     def _stop_accepting(self) -> None:
         if self.socket and self.accepting:
             self.accepting = False
             IOLoop.current().remove_handler(self.socket)
 
-    def _back_off(self) -> None:
+    def _pause_accepting(self) -> None:
         self._stop_accepting()
         IOLoop.current().call_later(ACCEPT_BACKOFF_S, self._resume_accepting)
 
-    def _ready(self, *_: object) -> None:
-        """Accept the whole backlog, as far as descriptors go."""
-        self._accept(last=False)
+    def _on_readable(self, *_: object) -> None:
+        """Accept the backlog, as far as descriptors are available."""
+        self._accept_backlog(is_closing=False)
 
-    def _accept(self, last: bool) -> None:
-        """Accept the backlog; with `last` all of it, whatever it takes, as the listener closes."""
+    def _accept_backlog(self, is_closing: bool) -> None:
+        """Accept the backlog; if the listener is closing, all of it, even beyond the limits."""
         evicted = False
         while self.socket:
-            if last:
+            if is_closing:
                 self.descriptors.inbound += 1
-            elif not self._take_descriptor():
-                if not evicted and self._evict():
+            elif not self._acquire_connection_slot():
+                if not evicted and self._evict_connections():
                     evicted = True
                     continue
                 self.log.event("connections_full", open=len(self.connections))
-                self._back_off()
+                self._pause_accepting()
                 return
             try:
                 accepted, peer = self.socket.accept()
@@ -158,47 +162,49 @@
                 return
             except OSError as error:
                 self.descriptors.inbound -= 1
-                if self._can_accept_after(error, last):
+                if self._can_accept_after(error, is_closing):
                     continue
                 self.log.event("accept_failed", error=str(error))
-                self._back_off()
+                self._pause_accepting()
                 return
-            self._adopt(accepted, str(peer[0]) if peer else "unix")
-            if evicted and not last:
-                return  # if others wait, the next turn of the loop tells: nothing is evicted for nobody
+            self._add_connection(accepted, str(peer[0]) if peer else "unix")
+            if evicted and not is_closing:
+                return  # continuing could evict again although no other connection waits to be accepted
 
-    def _can_accept_after(self, error: OSError, last: bool) -> bool:
-        """Whether to go on accepting at once after an error."""
+    def _can_accept_after(self, error: OSError, is_closing: bool) -> bool:
+        """Whether accepting can go on at once after an error."""
         if error.errno in (errno.ECONNABORTED, errno.EPROTO):
-            return True  # that connection was given up before it was accepted
-        return last and error.errno in (errno.EMFILE, errno.ENFILE) and self._evict()
+            return True  # the peer closed the connection before it was accepted
+        return is_closing and error.errno in (errno.EMFILE, errno.ENFILE) and self._evict_connections()
 
-    def _take_descriptor(self) -> bool:
+    def _acquire_connection_slot(self) -> bool:
         return (
             not self.max_connections or len(self.connections) < self.max_connections
         ) and self.descriptors.acquire_inbound()
 
-    def _evict(self) -> bool:
-        """Close unused connections, as others wait to be accepted: first those that wait for their peer's
-        end, then those that never sent a request.
+    def _evict_connections(self) -> bool:
+        """Close connections to free descriptors for new ones; return whether any was closed.
+
+        These are the connections that only wait for their peer's end of stream; if there are none, a few
+        idle ones in eviction order.
         """
         closing = [c for c in self.connections if c.state is ConnectionState.CLOSING]
-        unused = closing or self._evictable()
-        for connection in unused:
+        evicted = closing or self._connections_to_evict()
+        for connection in evicted:
             connection.abort()
-            self._forget(connection)
-        return bool(unused)
+            self._remove_connection(connection)
+        return bool(evicted)
 
-    def _evictable(self) -> list[Connection]:
-        """Return a few unused connections that may be evicted, in the order of eviction."""
+    def _connections_to_evict(self) -> list[Connection]:
+        """Return up to `MAX_EVICTIONS` connections that can be closed, in eviction order."""
         now = time.monotonic()
-        spare = (
+        evictable = (
             connection for connection in eviction_order(self.connections) if connection.is_evictable(now)
         )
-        return list(itertools.islice(spare, MAX_EVICTIONS))
+        return list(itertools.islice(evictable, MAX_EVICTIONS))
 
-    def _watch(self) -> None:
-        """End connections that stall; what lies in the sockets is read first."""
+    def _close_stalled(self) -> None:
+        """Close stalled connections, and schedule the next check after data in the sockets has been read."""
         now = time.monotonic()
         for connection in list(self.connections):
             if connection.is_message_overdue(now):
@@ -206,23 +212,25 @@
             elif connection.is_answer_stuck(now):
                 self.log.event("answer_not_taken", listener=str(self.address))
                 connection.abort()
-        self.watch_timer = asyncio.get_running_loop().call_later(WATCH_INTERVAL_S, after_reading, self._watch)
+        self.stall_check_timer = asyncio.get_running_loop().call_later(
+            WATCH_INTERVAL_S, after_reading, self._close_stalled
+        )
 
-    def _adopt(self, accepted: socket.socket, peer: str) -> None:
+    def _add_connection(self, accepted: socket.socket, peer: str) -> None:
         accepted.setblocking(False)
         stream = DetachableStream(accepted)
         stream.set_nodelay(accepted.family != socket.AF_UNIX)
         connection = self.make_connection(stream, peer)
         task = asyncio.get_running_loop().create_task(connection.run())
         self.connections[connection] = task
-        task.add_done_callback(lambda _: self._forget(connection))
+        task.add_done_callback(lambda _: self._remove_connection(connection))
         connection.draining = self.draining
 
     def put(self, message: messages.SetIdleTimeout) -> None:
-        """Set how long idle connections stay."""
+        """Set the idle timeout."""
         self.mailbox.put(message)
 
-    def _take(self, message: messages.SetIdleTimeout) -> None:
+    def _set_idle_timeout(self, message: messages.SetIdleTimeout) -> None:
         self.idle_timeout = message.timeout or 0.0
         if self.idle_check_timer:
             self.idle_check_timer.cancel()
@@ -231,7 +239,7 @@
             self._check_idle()
 
     def _check_idle(self) -> None:
-        """Ask peers to close what has been idle for too long: a close from here could cross a request."""
+        """Ask the peers of idle connections to close them: a close by this side could cross a request."""
         self._announce_to_idle(time.monotonic() - self.idle_timeout)
         self.idle_check_timer = asyncio.get_running_loop().call_later(
             max(self.idle_timeout, MIN_IDLE_CHECK_INTERVAL_S), self._check_idle
@@ -246,21 +254,21 @@
             ):
                 connection.announce_shutdown()
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove_connection(self, connection: Connection) -> None:
         if self.connections.pop(connection, None):
             self.descriptors.release_inbound()
 
     def begin_drain(self) -> None:
-        """Ask all peers to close their connections, those still to be accepted too."""
+        """Ask all peers to close their connections, also those accepted from now on."""
         self.draining = True
         for connection in self.connections:
             connection.draining = True
             connection.announce_shutdown()
 
     def stop_listening(self) -> None:
-        """Stop listening, with nothing left in the backlog."""
+        """Stop listening, after accepting the whole backlog."""
         if self.socket:
-            self._accept(last=True)
+            self._accept_backlog(is_closing=True)
             self._stop_accepting()
             self.socket.close()
             self.socket = None
@@ -268,20 +276,23 @@
                 self.address.unlink(missing_ok=True)
 
     def open_requests(self) -> int:
-        """Return how many requests on all connections have answers that are not sent yet."""
+        """Return the number of requests on all connections whose answers have not been sent."""
         return sum(
             len(c.unanswered) + bool(c.stream.writing() and not c.stream.closed()) for c in self.connections
         )
 
     async def close_connections(self, time_left: float) -> None:
-        """Close each connection once nothing is unanswered on it; after `time_left` seconds at once."""
-        until = time.monotonic() + time_left
-        while self._close_idle() and time.monotonic() < until:
+        """Close each connection once it has no unanswered request; wait at most `time_left` seconds for that.
+
+        A connection that still has an unanswered request after that stays open.
+        """
+        deadline = time.monotonic() + time_left
+        while self._close_idle() and time.monotonic() < deadline:
             await asyncio.sleep(CLOSE_POLL_S)
         closing = [task for connection, task in self.connections.items() if connection.stream.closed()]
         if closing:
-            await asyncio.wait(closing, timeout=max(0.0, until - time.monotonic()))
-        for timer in (self.idle_check_timer, self.watch_timer):
+            await asyncio.wait(closing, timeout=max(0.0, deadline - time.monotonic()))
+        for timer in (self.idle_check_timer, self.stall_check_timer):
             if timer:
                 timer.cancel()
         for connection in list(self.connections):
@@ -289,7 +300,7 @@
                 connection.abort()
 
     def _close_idle(self) -> bool:
-        """Close the connections on which nothing is unanswered or unread; tell whether others are left."""
+        """Begin to close the idle connections; return whether any connection is still open."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.begin_close()
--- a/shelfhaven/frontends/stream.py
+++ b/shelfhaven/frontends/stream.py
@@ -1,7 +1,6 @@
-"""A Tornado stream that can part with its socket instead of closing it.
+"""A Tornado stream that can leave its socket open when it ends.
 
-Owns what becomes of the descriptor when the stream ends. It must never decide whether a connection ends:
-`connection.py` does, and closes the socket that is left here.
+This module only keeps the socket open; `connection.py` decides when a connection ends and closes the socket.
 """
 
 from __future__ import annotations
@@ -10,42 +9,47 @@
 
 from tornado.iostream import IOStream
 
-CHUNK_BYTES = 64 * 1024  # of unsent bytes, copied at a time
+CHUNK_BYTES = 64 * 1024  # in which unsent bytes are copied
 
 
 class DetachableStream(IOStream):
-    """An IOStream whose socket outlives it after an end of stream, or on request.
+    """An IOStream whose socket stays open when the peer ends its stream, or after `detach`.
 
-    Tornado closes the descriptor on reading an end of stream. By TCP that ends one direction only: a peer
-    that shuts down its sending side may still wait for answers.
+    Tornado closes the descriptor when it reads the end of the stream.  In TCP that ends one direction only: a
+    peer that has shut down its sending direction may still wait for answers.
+
+    Attributes:
+        eof_received: whether the end of the peer's stream has been read.
+        detached_socket: the socket, once this stream has ended without closing it.
+        unsent: the bytes that had been written but not sent when the socket was detached.
     """
 
-    def __init__(self, connected: socket.socket) -> None:
-        super().__init__(connected)
-        self.peer_ended = False  # the end of the peer's stream was read
-        self.detached: socket.socket | None = None  # the socket, once the stream has parted with it
-        self.unsent = b""  # what was written and not sent by then
-        self._keeps_socket = False
+    def __init__(self, sock: socket.socket) -> None:
+        super().__init__(sock)
+        self.eof_received = False
+        self.detached_socket: socket.socket | None = None
+        self.unsent = b""
+        self._detach_on_close = False
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Read as IOStream does, and note an end of stream."""
+        """Read as IOStream does, and record the end of the stream."""
         count = super().read_from_fd(buf)
         if count == 0:
-            self.peer_ended = self._keeps_socket = True
+            self.eof_received = self._detach_on_close = True
         return count
 
     def detach(self) -> None:
-        """End the stream and leave its socket open in `detached`; on a closed stream nothing happens."""
-        self._keeps_socket = True
+        """End the stream and leave its socket open; do nothing if the stream is closed."""
+        self._detach_on_close = True
         self.close()
 
     def close_fd(self) -> None:
-        """Close the descriptor, or part with it."""
-        if not self._keeps_socket:
+        """Close the descriptor, or detach the socket."""
+        if not self._detach_on_close:
             super().close_fd()
             return
         self.unsent = self._take_unsent()
-        self.detached = self.socket
+        self.detached_socket = self.socket
         self.socket = None  # type: ignore[assignment]
 
     def _take_unsent(self) -> bytes:
--- a/shelfhaven/frontends/subrequest.py
+++ b/shelfhaven/frontends/subrequest.py
@@ -1,12 +1,11 @@
 """The frontend for proxies that ask by a plain HTTP/1.1 subrequest, whose status is the verdict.
 
-Owns the HTTP server and the encoding of a verdict as an HTTP response.  It decides nothing, and it can never
-learn how a run went, as such a proxy does not report it: a run ends only by its lease.  So the time that runs
-take is not measured, duplicates of an idempotency key get no result, and the capacity of the service stays as
-the operator states it.
+This module runs Tornado's HTTP server and encodes verdicts as HTTP responses.  Method and target of the
+proxied request are taken from X-Original-Method and X-Original-URI, or else from the subrequest itself.
 
-The server is Tornado's own.  The request that is asked about stands in X-Original-Method and X-Original-URI,
-else it is the subrequest's own.
+Such a proxy does not report how a run ended, so every run ends when its lease expires.  Therefore the time
+that runs take is not measured, duplicates of an idempotency key get no result, and the capacity of the
+service behind the proxy stays at the value that the operator configured.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 from tornado.netutil import bind_sockets, bind_unix_socket
 
 from shelfhaven.frontends.consulting import (
-    FULL_RETRY_AFTER_S,
+    OVERLOAD_RETRY_AFTER_S,
     ConsultationSession,
     ProxyListener,
     ProxyListenerContext,
@@ -38,8 +37,8 @@
 MAX_HEADER_BYTES = 32 * 1024
 IDLE_TIMEOUT_S = 60.0  # after which a connection without a request is closed
 MILLISECONDS_PER_SECOND = 1000
-CONFLICT = 409  # status for a duplicate whose original has run
-UNIX_PEER = "unix"  # name of a peer that connects over a Unix socket
+CONFLICT = 409  # status of the answer to a duplicate whose original has run
+UNIX_PEER = "unix"  # host of a peer that connects over a Unix socket
 
 
 class Subrequest(ConsultationSession):
@@ -47,7 +46,7 @@
 
     Attributes:
         status: HTTP status of the response.
-        headers: headers of the response, beside those that the connection adds.
+        headers: headers of the response, except those that `SubrequestListener` adds.
     """
 
     def __init__(self, listener: ProxyListener, peer: str, request: HTTPServerRequest) -> None:
@@ -58,28 +57,28 @@
         self.headers = HTTPHeaders()
 
     async def response_body(self) -> bytes:
-        """Return the body of the response, once there is a verdict."""
+        """Wait for the verdict; set the status and headers of the response and return its body."""
         try:
-            self._map(self._variables())
+            self._map_request(self._cgi_variables())
         except MappingError as error:
             (verdict,) = self.consultation.unmappable(error.status, str(error))
             assert isinstance(verdict, processor_policy.ImmediateResponse)
             return self._encode_immediate(verdict)
-        self.consultation.request_headers(end_of_stream=True)  # a body that is asked about is not sent
+        self.consultation.request_headers(end_of_stream=True)  # the proxy does not send the request's body
         return await self._submit(b"")
 
     @property
     def is_forwarded(self) -> bool:
-        """Whether the proxy runs the request, until its lease expires."""
+        """Whether the proxy was told to forward the request, and its lease has not expired."""
         return self.consultation.stage is ConsultationStage.CONTINUED
 
     def withdraw(self) -> None:
-        """Take the end of a proxy that did not wait for its verdict."""
+        """Stop waiting for the verdict, as the proxy has closed the connection."""
         if self.verdict and not self.verdict.done():
             self.verdict.cancel()
 
-    def _variables(self) -> dict[str, str]:
-        """Return what the mapping reads, under the names of CGI."""
+    def _cgi_variables(self) -> dict[str, str]:
+        """Return the proxied request as CGI variables, which the mapping reads."""
         headers = self.request.headers
         target = headers.get("X-Original-URI", self.request.uri or "")
         variables = {f"HTTP_{name.upper().replace('-', '_')}": value for name, value in headers.get_all()}
@@ -99,7 +98,7 @@
     def _encode_immediate(self, verdict: processor_policy.ImmediateResponse) -> bytes:
         is_rejected = verdict.status == HTTPStatus.SERVICE_UNAVAILABLE and verdict.not_run
         self.status = self.listener.listen.reject_status if is_rejected else verdict.status
-        if verdict.result is not None:  # it has run: the proxy must not forward it
+        if verdict.result is not None:  # the original has run, so the proxy must not forward the duplicate
             self.status = CONFLICT
         if verdict.not_run:
             self.headers["X-Not-Run"] = "1"
@@ -134,15 +133,15 @@
             self.server.add_socket(bind_unix_socket(str(address)))
         else:
             self.server.add_sockets(bind_sockets(address.port, address.host))
-        self._start_measuring()
+        self._measure_load()
 
     def stop_listening(self, _time_left: float) -> None:
-        """Accept no new connection; those that are open have until the end."""
+        """Accept no new connections; open ones stay until `end`."""
         self.server.stop()
 
     async def end(self) -> None:
-        """End what is still open."""
-        self._stop_measuring()
+        """Close all open connections."""
+        self._stop_load_measurement()
         self.server.stop()
         await self.server.close_all_connections()
 
@@ -157,22 +156,22 @@
             self._respond(request, status, HTTPHeaders(), b"")
             return
         if not self.admit():
-            headers = HTTPHeaders({"Retry-After": str(math.ceil(FULL_RETRY_AFTER_S))})
+            headers = HTTPHeaders({"Retry-After": str(math.ceil(OVERLOAD_RETRY_AFTER_S))})
             self._respond(request, self.listen.reject_status, headers, b"not looked at\n")
             return
         subrequest = Subrequest(self, request.remote_ip or UNIX_PEER, request)
         try:
             await self._consult(subrequest)
         except asyncio.CancelledError:
-            pass  # the proxy did not wait: there is nobody to answer
+            pass  # the proxy has closed the connection, so there is no response to send
         finally:
             self.streams.release_stream()
-            if not subrequest.is_forwarded:  # else its lease goes on
+            if not subrequest.is_forwarded:  # the lease of a forwarded request goes on
                 subrequest.closed()
 
     async def _consult(self, subrequest: Subrequest) -> None:
-        """Wait for the verdict and respond with it, unless the proxy goes away before."""
-        connection = _connection_of(subrequest.request)
+        """Wait for the verdict and respond with it, unless the proxy closes the connection first."""
+        connection = _http_connection(subrequest.request)
         connection.set_close_callback(subrequest.withdraw)
         body = await subrequest.response_body()
         if subrequest.load is not None:
@@ -184,7 +183,7 @@
         headers["Content-Length"] = str(len(body))
         if self.draining:
             headers["Connection"] = "close"
-        connection = _connection_of(request)
+        connection = _http_connection(request)
         try:
             start_line = ResponseStartLine("HTTP/1.1", status, REASON_PHRASES.get(status, "Unknown"))
             connection.write_headers(start_line, headers, body)
@@ -193,8 +192,8 @@
             self.log.event("proxy_gone", peer=request.remote_ip)
 
 
-def _connection_of(request: HTTPServerRequest) -> HTTP1Connection:
-    """Return a request's connection, of the one kind that this server has."""
+def _http_connection(request: HTTPServerRequest) -> HTTP1Connection:
+    """Return the connection of a request; this server has only HTTP/1.1 connections."""
     connection = request.connection
     assert isinstance(connection, HTTP1Connection)
     return connection
--- a/shelfhaven/frontends/tls_credentials.py
+++ b/shelfhaven/frontends/tls_credentials.py
@@ -1,4 +1,4 @@
-"""TLS credentials of a gRPC listener, read again when the operator replaces the files.
+"""TLS credentials of a gRPC listener, reloaded when the operator replaces their files.
 
 Importing this module imports gRPC.
 """
@@ -11,15 +11,15 @@
 
 from shelfhaven.operator_config import Tls
 
-Stamp: TypeAlias = tuple[float, ...]  # modification times of the files, 0.0 for one that is missing
+ModificationTimes: TypeAlias = tuple[float, ...]  # of the files; 0.0 for one that is missing
 
 
 class CertificateFiles:
-    """The files of a listener's certificate, and which version of them is in use."""
+    """The certificate files of a listener, with the modification times of the version in use."""
 
     def __init__(self, tls: Tls) -> None:
         self.tls = tls
-        self.stamp = self._current_stamp()
+        self.modification_times = self._read_modification_times()
 
     def load(self) -> grpc.ServerCertificateConfiguration:
         """Read the files.
@@ -27,29 +27,32 @@
         Raises:
             OSError: a file cannot be read.
         """
-        chain = [(self.tls.key.read_bytes(), self.tls.certificate.read_bytes())]
-        authority = self.tls.client_ca.read_bytes() if self.tls.client_ca else None
-        return grpc.ssl_server_certificate_configuration(chain, authority)
-
-    def load_changed(self) -> grpc.ServerCertificateConfiguration | None:
-        """Read the files if they have changed; None, to go on with the old ones, if not or on an error."""
-        stamp = self._current_stamp()
-        if stamp == self.stamp:
+        key_pairs = [(self.tls.key.read_bytes(), self.tls.certificate.read_bytes())]
+        client_ca = self.tls.client_ca.read_bytes() if self.tls.client_ca else None
+        return grpc.ssl_server_certificate_configuration(key_pairs, client_ca)
+
+    def load_if_changed(self) -> grpc.ServerCertificateConfiguration | None:
+        """Read the files if they have changed.
+
+        Return None, which keeps the current certificate in use, if they have not or cannot be read.
+        """
+        modification_times = self._read_modification_times()
+        if modification_times == self.modification_times:
             return None
         try:
             configuration = self.load()
         except OSError:
             return None
-        self.stamp = stamp
+        self.modification_times = modification_times
         return configuration
 
-    def _current_stamp(self) -> Stamp:
+    def _read_modification_times(self) -> ModificationTimes:
         paths = [path for path in (self.tls.key, self.tls.certificate, self.tls.client_ca) if path]
         return tuple(path.stat().st_mtime if path.exists() else 0.0 for path in paths)
 
 
 def server_credentials(tls: Tls) -> grpc.ServerCredentials:
-    """Return credentials that follow changes of their files; open connections keep theirs.
+    """Return credentials that are reloaded when their files change, for new connections only.
 
     Raises:
         OSError: a file cannot be read.
@@ -58,6 +61,6 @@
     requires_client_certificate = tls.client_ca is not None
     return grpc.dynamic_ssl_server_credentials(
         files.load(),
-        files.load_changed,  # type: ignore[arg-type]  # gRPC takes None for no change, its stubs do not
+        files.load_if_changed,  # type: ignore[arg-type]  # gRPC accepts None, but its type stubs do not
         requires_client_certificate,
     )
--- a/shelfhaven/frontends/uwsgi.py
+++ b/shelfhaven/frontends/uwsgi.py
@@ -1,13 +1,14 @@
-"""The gateways' frontend: requests by the uwsgi protocol, answered in HTTP.
+"""The frontend for gateways: requests by the uwsgi protocol, answered in HTTP.
 
-Owns how an answer of the core looks to a gateway; a connection carries one request at a time.  It answers by
-itself only what cannot be read: the mapping says what a request asks for, the core whether it is served.
+A connection carries one request at a time.  The mapping determines what a request asks for and the core
+whether it is served; this module encodes the core's answers and answers by itself only a stream that cannot
+be read.
 
-    served    200, the run's body
-    rejected  503, Retry-After in whole seconds, X-Retry-After-Ms, and X-Not-Run: 1, which promises that
-              nothing was executed
-    failed    502, or 504 after its deadline; no promise
-    invalid   400, 403, 404, 405, 408, 413, 431, 501 with the reason; nothing was executed
+    served    200 with the body of the run's result
+    rejected  503 with Retry-After in whole seconds, X-Retry-After-Ms, and X-Not-Run: 1, which guarantees
+              that nothing was executed
+    failed    502, or 504 after the deadline; the request may have been executed
+    invalid   400, 403, 404, 405, 408, 413, 431 or 501 with the reason; nothing was executed
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
     READ_BYTES,
     Connection,
     ConnectionState,
-    ToCore,
+    NotifyCore,
     UnreadableStreamError,
 )
 from shelfhaven.frontends.stream import DetachableStream
@@ -42,11 +43,11 @@
 DEADLINE_PASSED = 504
 INVALID = 400
 NOT_RUN = ("X-Not-Run", "1")
-PLAIN = ("Content-Type", "text/plain; charset=utf-8")
-# Lingering close, as web servers such as nginx call it: input is read and discarded before a close.
+PLAIN_TEXT = ("Content-Type", "text/plain; charset=utf-8")
+# A lingering close, as in nginx, reads and discards input before the socket is closed.
 LINGERING_CLOSE_TIMEOUT_S = 1.0
-MAX_LINGERING_CLOSE_BYTES = 1 << 20  # of that input
-ATTEMPT_ID_BYTES = 8  # in hex on the wire, as routers do
+MAX_LINGERING_CLOSE_BYTES = 1 << 20  # of discarded input
+ATTEMPT_ID_BYTES = 8  # written in hex, like the attempt ids of routers
 
 
 class GatewayConnection(Connection):
@@ -58,7 +59,7 @@
         peer: str,
         listen: Listen,
         mapping: RequestMapping,
-        notify_core: ToCore,
+        notify_core: NotifyCore,
         log: Log,
     ) -> None:
         super().__init__(stream, notify_core, log)
@@ -69,7 +70,7 @@
         self.unread_answer_timeout = listen.answer_timeout or None
         self.parser = wire.RequestParser(listen.max_block_bytes, listen.max_body_bytes)
         self.keep_alive = listen.keep_alive
-        self.request_ref = 0  # of the current request, or the last one
+        self.request_ref = 0  # of the current or last request
 
     @property
     def has_partial_message(self) -> bool:
@@ -84,12 +85,12 @@
         for request in requests:
             if self.unanswered or (self.request_ref and not self.keep_alive):
                 raise UnreadableStreamError("more than one request at a time")
-            self._note_message()
-            self._request(request)
+            self._record_message()
+            self._handle_request(request)
         if self.unanswered and self.parser.has_partial_request:
             raise UnreadableStreamError("bytes after the request")
 
-    def _request(self, request: wire.Request) -> None:
+    def _handle_request(self, request: wire.Request) -> None:
         self.request_ref += 1
         self.unanswered.add(self.request_ref)
         path = request.variables.get("PATH_INFO", "")
@@ -98,11 +99,11 @@
             self.notify_core(messages.CheckHealth(self, self.request_ref))
             return
         try:
-            self.notify_core(self._submission(request))
-        except MappingError as fault:
-            self.notify_core(messages.RejectMalformed(self, self.request_ref, fault.status, str(fault)))
+            self.notify_core(self._build_submission(request))
+        except MappingError as error:
+            self.notify_core(messages.RejectMalformed(self, self.request_ref, error.status, str(error)))
 
-    def _submission(self, request: wire.Request) -> messages.SubmitRequest:
+    def _build_submission(self, request: wire.Request) -> messages.SubmitRequest:
         variables = request.variables
         mapped = self.mapping.map_request(time.monotonic(), variables, self.peer, len(request.body))
         return messages.SubmitRequest(
@@ -132,30 +133,30 @@
         )
 
     def _encode_unreadable(self, error: UnreadableStreamError) -> bytes:
-        """Say so only if no request is unanswered: the one answer to come is that request's."""
+        """Return the error response; nothing if a request is unanswered, as the peer expects its answer."""
         if self.unanswered:
             return b""
         return http.encode_response(
-            error.code or INVALID, [PLAIN, NOT_RUN], f"{error}\n".encode(), close=True
+            error.code or INVALID, [PLAIN_TEXT, NOT_RUN], f"{error}\n".encode(), close=True
         )
 
     def _encode(self, answer: messages.Answer) -> bytes:
         close = not self.keep_alive or self.draining
         if close:
-            self.state = ConnectionState.UNREADABLE  # it is closed once this is sent
+            self.state = ConnectionState.UNREADABLE  # closed once this answer has been sent
         load = [] if answer.load is None else [("X-Load", f"{answer.load:g}")]
         match answer:
             case messages.ServedAnswer():
                 fields = [("Content-Type", self.listen.content_type), *load]
                 return http.encode_response(SERVED, fields, answer.body, close)
             case messages.RejectedAnswer():
-                fields = [*load, PLAIN, NOT_RUN, *_retry_fields(answer)]
+                fields = [*load, PLAIN_TEXT, NOT_RUN, *_retry_fields(answer)]
                 return http.encode_response(REJECTED, fields, b"refused; nothing ran\n", close)
             case messages.FailedAnswer():
                 status = answer.code or (DEADLINE_PASSED if answer.deadline_passed else FAILED)
-                promise = [NOT_RUN] if answer.code else []
+                not_run = [NOT_RUN] if answer.code else []  # a code is set only for invalid requests
                 return http.encode_response(
-                    status, [*load, PLAIN, *promise], f"{answer.text}\n".encode(), close
+                    status, [*load, PLAIN_TEXT, *not_run], f"{answer.text}\n".encode(), close
                 )
             case messages.HealthAnswer():
                 status = SERVED if answer.healthy else REJECTED
@@ -165,12 +166,15 @@
                 )
 
     def announce_shutdown(self) -> None:
-        """HTTP cannot express it: the next answer says close, an idle connection ends with the listener."""
+        """Close the connection after the next answer: HTTP has no message to announce a shutdown.
+
+        An idle connection ends with its listener.
+        """
         self.keep_alive = False
 
-    async def _before_close(self) -> None:
-        """Let sent answers arrive by a lingering close: one over unread bytes would reset the connection and
-        lose them.
+    async def _prepare_close(self) -> None:
+        """Perform a lingering close: closing a socket with unread input would reset the connection, and the
+        peer could lose answers that were already sent.
         """
         self.stream.socket.shutdown(socket.SHUT_WR)
         async with asyncio.timeout(LINGERING_CLOSE_TIMEOUT_S):
@@ -180,7 +184,7 @@
 
 
 def _retry_fields(answer: messages.RejectedAnswer) -> list[tuple[str, str]]:
-    """Return the header fields that say when, and whether elsewhere, to retry."""
+    """Return the header fields that state when to retry, and whether to try another server."""
     fields = []
     if answer.retry_after > 0:
         fields.append(("Retry-After", str(math.ceil(answer.retry_after))))
--- a/tests/frontends/proxy_nodes.py
+++ b/tests/frontends/proxy_nodes.py
@@ -1,4 +1,4 @@
-"""A server with a listener of proxies and stub proxies, for the tests of proxy frontends."""
+"""A server with a listener for proxies, and stub proxies, for the tests of the proxy frontends."""
 
 from __future__ import annotations
 
@@ -15,49 +15,50 @@
 
 
 class ProxyNode(FrontendNode):
-    """A server with a listener of proxies beside the others.
+    """A server with a listener for proxies in addition to those for gateways and routers.
 
     Attributes:
-        forwarded: what the stub proxies have forwarded.
-        made: the stub proxies, to be closed at the end.
+        proxy_address: address of the listener for proxies.
+        forwarded: the requests that the stub proxies have forwarded.
+        stub_proxies: the stub proxies, which are closed when the node ends.
     """
 
     def __init__(self, **changes: Any) -> None:
-        self.proxies = reserved_address()
+        self.proxy_address = reserved_address()
         consult = changes.pop("consult", "")
-        listen = f'\nlisten "p" protocol="extproc" address="{self.proxies}" mapping="m" {consult}'
+        listen = f'\nlisten "p" protocol="extproc" address="{self.proxy_address}" mapping="m" {consult}'
         super().__init__(1, listen=listen, **changes)
         self.forwarded: list[ExecutedRun] = []
-        self.made: list[ProxyStub] = []
+        self.stub_proxies: list[ProxyStub] = []
 
-    def proxy(self, **changes: Any) -> ProxyStub:
-        """Make a stub proxy of this server."""
-        proxy = ProxyStub(self.proxies.port, self.forwarded, **changes)
-        self.made.append(proxy)
+    def new_proxy(self, **changes: Any) -> ProxyStub:
+        """Return a new stub proxy of this server."""
+        proxy = ProxyStub(self.proxy_address.port, self.forwarded, **changes)
+        self.stub_proxies.append(proxy)
         return proxy
 
 
 @contextlib.asynccontextmanager
 async def running_proxy_node(**changes: Any) -> AsyncIterator[ProxyNode]:
-    """A running server with one backend; ended with the context if it still runs."""
-    running = ProxyNode(**changes)
-    await running.start()
+    """Run a server with one backend within a context."""
+    node = ProxyNode(**changes)
+    await node.start()
     try:
-        yield running
+        yield node
     finally:
-        for proxy in running.made:
+        for proxy in node.stub_proxies:
             await proxy.close()
-        if not running.running.done():
-            running.running.cancel()
-        await asyncio.gather(running.running, return_exceptions=True)
-        for processor in running.app.processors:
+        if not node.task.done():
+            node.task.cancel()
+        await asyncio.gather(node.task, return_exceptions=True)
+        for processor in node.app.processors:
             await processor.end()
-        running.backends[0].stop()
-        running.folder.cleanup()
+        node.backends[0].stop()
+        node.folder.cleanup()
 
 
 async def ask_until_forwarded(proxy: ProxyStub) -> None:
-    """Ask until a request goes on: after a fault some may be rejected for a while."""
+    """Repeat a request until it is forwarded: after a fault the server may reject some for a while."""
     async with asyncio.timeout(SOON):
         while not (exchange := await proxy.ask("GET", "/balance/1")).forwarded:
             assert exchange.reply
--- a/tests/frontends/test_consulting.py
+++ b/tests/frontends/test_consulting.py
@@ -1,4 +1,4 @@
-"""Consultations without a protocol: what a session makes of the core's answers, and a listener's counters."""
+"""Consultations independent of the protocol: verdicts and leases of a session, and a listener's counters."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
     """A listener without a socket."""
 
     async def start(self) -> None:
-        """Listen to nothing."""
+        """Do nothing, as there is no socket."""
 
     def stop_listening(self, time_left: float) -> None:
-        """Nothing was listened to."""
+        """Do nothing, as there is no socket."""
 
     async def end(self) -> None:
-        """Nothing is open."""
+        """Do nothing, as nothing is open."""
 
 
 class Session(ConsultationSession):
-    """A session whose encoded verdicts are readable."""
+    """A session that encodes verdicts as plain text."""
 
     def _encode_continue(
         self, verdict: processor_policy.Continue, launch: messages.LaunchRun | None
@@ -52,8 +52,8 @@
         return b"%d" % verdict.status
 
 
-class World:
-    """A listener, and the messages and events that it sends to the core, the runner and the log."""
+class Harness:
+    """A listener whose messages to the core and the runner, and whose log events, are recorded."""
 
     def __init__(self, max_streams: int = 2) -> None:
         self.notified: list[Any] = []
@@ -67,10 +67,10 @@
         settings = ConsultSettings(verdict_timeout=VERDICT_TIMEOUT_S, lease=LEASE_S, max_streams=max_streams)
         listen = Listen("p", ListenProtocol.EXTERNAL_PROCESSING, Path("p.sock"), consult=settings)
         context = ProxyListenerContext(runner, self.notified.append, log, lambda: True, 1.0)
-        mapping: Any = None  # sessions here are not mapped
+        mapping: Any = None  # unused: no request is mapped in these tests
         self.listener = Listener(listen, mapping, context)
 
-    def submitted(self) -> Session:
+    def submitted_session(self) -> Session:
         """Return a session that waits for its verdict."""
         session = Session(self.listener, "peer")
         session.consultation.stage = ConsultationStage.SUBMITTED
@@ -79,70 +79,72 @@
         return session
 
 
-def launch_of(session: Session) -> messages.LaunchRun:
-    """Return the core's permission for a session."""
+def launch_for(session: Session) -> messages.LaunchRun:
+    """Return the core's permission to run the request of a session."""
     return messages.LaunchRun(session.attempt_id, "balance", b"", 1.0)
 
 
 def test_a_launch_is_the_verdict_and_an_unreported_run_ends_with_its_lease() -> None:
     async def check() -> None:
-        world = World()
-        session = world.submitted()
-        session.launched(launch_of(session))
+        harness = Harness()
+        session = harness.submitted_session()
+        session.launched(launch_for(session))
         assert session.verdict
         assert session.verdict.result() == b"continue"
         await asyncio.sleep(2 * LEASE_S)
-        assert world.events == ["lease_out"]
-        assert world.ended == [(session.attempt_id, Outcome.TIMEOUT)]
+        assert harness.events == ["lease_out"]
+        assert harness.ended == [(session.attempt_id, Outcome.TIMEOUT)]
 
     run_async(check)
 
 
 def test_the_end_of_the_stream_ends_the_run_and_cancels_its_lease() -> None:
     async def check() -> None:
-        world = World()
-        session = world.submitted()
-        session.launched(launch_of(session))
+        harness = Harness()
+        session = harness.submitted_session()
+        session.launched(launch_for(session))
         session.closed()
         await asyncio.sleep(2 * LEASE_S)
-        assert world.events == []
-        assert world.ended == [(session.attempt_id, Outcome.RESET)]
-        assert not world.listener.runner.consultations
+        assert harness.events == []
+        assert harness.ended == [(session.attempt_id, Outcome.RESET)]
+        assert not harness.listener.runner.consultations
 
     run_async(check)
 
 
 def test_the_end_of_the_stream_before_the_verdict_withdraws_the_request() -> None:
     async def check() -> None:
-        world = World()
-        session = world.submitted()
+        harness = Harness()
+        session = harness.submitted_session()
         session.closed()
-        (cancel,) = world.notified
+        (cancel,) = harness.notified
         assert isinstance(cancel, messages.CancelRequest)
         assert cancel.frontend is session
-        assert world.listener.load_shedder.withdrawn == 1
-        assert not world.ended
+        assert harness.listener.load_shedder.withdrawn == 1
+        assert not harness.ended
 
     run_async(check)
 
 
 def test_a_verdict_is_given_once() -> None:
     async def check() -> None:
-        world = World()
-        session = world.submitted()
+        harness = Harness()
+        session = harness.submitted_session()
         now = time.monotonic()
         session._execute(session.consultation.rejected(now, 1.0, False))
-        session.launched(launch_of(session))
+        session.launched(launch_for(session))
         assert session.verdict
         assert session.verdict.result() == b"503"
-        assert world.ended == [(session.attempt_id, Outcome.CONNECT_FAILED)], "the proxy runs nothing"
+        assert harness.ended == [(session.attempt_id, Outcome.CONNECT_FAILED)], "the proxy does not run it"
 
     run_async(check)
 
 
 @pytest.mark.parametrize("max_streams", [1, 3])
-def test_the_load_shows_streams_rejections_and_answers_once(max_streams: int) -> None:
-    listener = World(max_streams).listener
+def test_load_figures_include_streams_rejections_and_the_answers_since_the_last_call(
+    max_streams: int,
+) -> None:
+    listener = Harness(max_streams).listener
     admitted = sum(listener.admit() for _ in range(4))
     assert admitted == listener.open_requests() == max_streams
     listener.answer_counts[AnswerCountKey(1, "refused")] += 2
--- a/tests/frontends/test_extproc_faults.py
+++ b/tests/frontends/test_extproc_faults.py
@@ -1,4 +1,4 @@
-"""Faults of proxies: bad HTTP/2, paused and replaced servers, certificates."""
+"""The external-processing frontend under faults: unusual HTTP/2, stopped servers, changed certificates."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Http2Client:
-    """A client that speaks HTTP/2 as badly as a test wants."""
+    """An HTTP/2 client whose frames a test chooses one by one, which a gRPC library would not permit."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -53,11 +53,11 @@
     def flush(self) -> None:
         self.writer.write(self.http.data_to_send())
 
-    def begin(self, **more: str) -> int:
+    def begin(self, **more_headers: str) -> int:
         stream: int = self.http.get_next_available_stream_id()
         headers = [
             (":method", "POST"), (":path", METHOD), (":scheme", "http"), (":authority", "x"),
-            ("content-type", "application/grpc"), ("te", "trailers"), *more.items(),
+            ("content-type", "application/grpc"), ("te", "trailers"), *more_headers.items(),
         ]  # fmt: skip
         self.http.send_headers(stream, headers)
         return stream
@@ -67,50 +67,50 @@
 
 
 async def open_http2_client(node: ProxyNode) -> Http2Client:
-    return Http2Client(*await connect(node.proxies))
+    return Http2Client(*await connect(node.proxy_address))
 
 
-def first_bytes(path: str) -> bytes:
+def encoded_first_message(path: str) -> bytes:
     return first_message(new_request("GET", path, b"", {})).SerializeToString()
 
 
 def test_a_flow_control_window_of_zero_stalls_its_own_stream_only() -> None:
     async def check() -> None:
         async with running_proxy_node() as node:
-            bad = await open_http2_client(node)
+            client = await open_http2_client(node)
             log = node.app.processors[0].log
-            bad.http.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
+            client.http.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
             with patch.object(log, "event", wraps=log.event) as events:
                 for number in range(20):
-                    bad.send(bad.begin(), first_bytes(f"/balance/{number}"))
-                bad.flush()
-                # each of them by itself, in its own time
+                    client.send(client.begin(), encoded_first_message(f"/balance/{number}"))
+                client.flush()
+                # Each stream times out on its own.
                 await until(
                     lambda: [call.args[0] for call in events.call_args_list].count("proxy_stalls") == 20
                 )
             await until(lambda: not node.app.processors[0].open_requests() and not node.app.core.requests)
-            await ask_until_forwarded(node.proxy())
-            bad.writer.close()
+            await ask_until_forwarded(node.new_proxy())
+            client.writer.close()
 
     run_async(check)
 
 
-def test_thousands_of_resets_at_once_leave_nothing_behind() -> None:
+def test_no_request_stays_open_after_thousands_of_stream_resets() -> None:
     async def check() -> None:
         async with running_proxy_node() as node:
-            bad = await open_http2_client(node)
+            client = await open_http2_client(node)
             for number in range(2000):
-                stream = bad.begin()
-                if number < 500:  # the window of the connection has room for no more
-                    bad.send(stream, first_bytes(f"/balance/{number}"))
-                bad.http.reset_stream(stream)
+                stream = client.begin()
+                if number < 500:  # no more messages fit in the flow-control window of the connection
+                    client.send(stream, encoded_first_message(f"/balance/{number}"))
+                client.http.reset_stream(stream)
                 if number % 50 == 0:
-                    bad.flush()
+                    client.flush()
                     with contextlib.suppress(ConnectionError):
-                        await bad.writer.drain()
-            bad.flush()
-            await ask_until_forwarded(node.proxy(verdict_timeout=5.0))
-            bad.writer.close()
+                        await client.writer.drain()
+            client.flush()
+            await ask_until_forwarded(node.new_proxy(verdict_timeout=5.0))
+            client.writer.close()
             await until(lambda: not node.app.processors[0].open_requests() and not node.app.core.requests)
 
     run_async(check)
@@ -125,7 +125,7 @@
             for number in range(5000):
                 pings.http.ping(number.to_bytes(8, "big"))
             pings.flush()
-            await ask_until_forwarded(node.proxy())
+            await ask_until_forwarded(node.new_proxy())
             await until(lambda: node.app.processors[0].open_requests() == 0)
             large.writer.close()
             pings.writer.close()
@@ -161,7 +161,7 @@
             os.kill(node.pid, signal.SIGSTOP)
             asking = [asyncio.ensure_future(proxy.ask("GET", f"/balance/{number}")) for number in range(20)]
             started = time.monotonic()
-            await until(lambda: time.monotonic() > started + 1.0)  # it stands still for so long
+            await until(lambda: time.monotonic() > started + 1.0)  # the process stays stopped for a second
             os.kill(node.pid, signal.SIGCONT)
             exchanges = await asyncio.gather(*asking)
             assert {exchange.reply.status for exchange in exchanges if exchange.reply} == {503}
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.alone
-def test_a_flood_while_two_of_three_servers_are_replaced_leaves_no_request_without_a_verdict() -> None:
+def test_every_request_gets_a_verdict_under_load_while_two_of_three_servers_are_replaced() -> None:
     async def check() -> None:
         log: list[ExecutedRun] = []
         addresses = [reserved_address() for _ in range(3)]
@@ -188,20 +188,20 @@
             await asyncio.sleep(0.02)
             return UpstreamResponse(200, b"done")
 
-        def made(address: Address) -> ProxyStub:
+        def new_proxy(address: Address) -> ProxyStub:
             proxy = ProxyStub(address.port, log, verdict_timeout=0.5)
             proxy.upstream = upstream
             return proxy
 
-        proxies = [made(address) for address in addresses]
+        proxies = [new_proxy(address) for address in addresses]
 
-        async def one(number: int) -> None:
-            """A proxy tries another node if the stream never reached the first."""
+        async def ask_one_of_the_nodes(number: int) -> None:
+            """Ask a healthy node, and another one if the stream never reached the first."""
             exchange = ProxiedRequest("GET", "", b"", {})
-            for step in range(3):
-                if not proxies[(number + step) % 3].healthy:
+            for offset in range(3):
+                if not proxies[(number + offset) % 3].healthy:
                     continue
-                exchange = await proxies[(number + step) % 3].ask("GET", f"/balance/{number}")
+                exchange = await proxies[(number + offset) % 3].ask("GET", f"/balance/{number}")
                 if exchange.verdict_latency is not None:
                     exchanges.append(exchange)
                     return
@@ -219,17 +219,17 @@
             tasks = []
             cold = 'cold true\n cold-from 0.3\n warm-up "2s"'
 
-            async def replace(which: int) -> None:
-                assert await nodes[which].shut_down() == 0
-                file = OPERATOR_FILE.format(proxies=addresses[which], cold=cold)
-                await stack.enter_async_context(run_node(file, addresses[which]))
+            async def replace(index: int) -> None:
+                assert await nodes[index].shut_down() == 0
+                file = OPERATOR_FILE.format(proxies=addresses[index], cold=cold)
+                await stack.enter_async_context(run_node(file, addresses[index]))
 
             replacing = []
             watching = [asyncio.ensure_future(proxy.watch()) for proxy in proxies]
             for number in range(600):
-                tasks.append(asyncio.ensure_future(one(number)))
+                tasks.append(asyncio.ensure_future(ask_one_of_the_nodes(number)))
                 if number == 100:
-                    replacing = [asyncio.ensure_future(replace(which)) for which in (0, 1)]
+                    replacing = [asyncio.ensure_future(replace(index)) for index in (0, 1)]
                 await asyncio.sleep(0.008)
             await asyncio.gather(*tasks, *replacing)
             for proxy, watch in zip(proxies, watching, strict=True):
@@ -237,7 +237,7 @@
                 await proxy.close()
         assert lost == []
         assert len(exchanges) == 600
-        latencies = [one.verdict_latency for one in exchanges if one.verdict_latency is not None]
+        latencies = [done.verdict_latency for done in exchanges if done.verdict_latency is not None]
         assert len(latencies) == 600
         assert max(latencies) < 0.5
         assert sum(exchange.forwarded for exchange in exchanges) > 300
@@ -256,28 +256,31 @@
 
 def test_certificates_are_reloaded_and_a_client_without_one_is_rejected(tmp_path: Path) -> None:
     async def check() -> None:
-        old, new, callers = trustme.CA(), trustme.CA(), trustme.CA()
+        old, new, client_ca = trustme.CA(), trustme.CA(), trustme.CA()
         write_certificate(old, tmp_path)
-        callers.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
-        mine = callers.issue_cert("proxy@example.org")
-        files = "\n".join(
+        client_ca.cert_pem.write_to_path(str(tmp_path / "ca.pem"))
+        client_certificate = client_ca.issue_cert("proxy@example.org")
+        tls_options = "\n".join(
             f'{name} "{tmp_path / file}"'
             for name, file in (("certificate", "cert.pem"), ("key", "key.pem"), ("client-ca", "ca.pem"))
         )
-        async with running_proxy_node(consult=f"{{\n tls {{\n {files}\n }}\n}}") as node:
+        async with running_proxy_node(consult=f"{{\n tls {{\n {tls_options}\n }}\n}}") as node:
 
-            def proxy(authority: trustme.CA, known: bool) -> ProxyStub:
-                pair = (mine.private_key_pem.bytes(), mine.cert_chain_pems[0].bytes())
-                own = pair if known else (None, None)
-                tls = grpc.ssl_channel_credentials(authority.cert_pem.bytes(), *own)
-                return node.proxy(tls=tls, verdict_timeout=2.0)
+            def new_proxy(server_ca: trustme.CA, has_certificate: bool) -> ProxyStub:
+                key_and_certificate = (
+                    client_certificate.private_key_pem.bytes(),
+                    client_certificate.cert_chain_pems[0].bytes(),
+                )
+                own = key_and_certificate if has_certificate else (None, None)
+                tls = grpc.ssl_channel_credentials(server_ca.cert_pem.bytes(), *own)
+                return node.new_proxy(tls=tls, verdict_timeout=2.0)
 
-            assert (await proxy(old, True).ask("GET", "/balance/1")).forwarded
-            assert not (await proxy(old, False).ask("GET", "/balance/2")).forwarded
+            assert (await new_proxy(old, True).ask("GET", "/balance/1")).forwarded
+            assert not (await new_proxy(old, False).ask("GET", "/balance/2")).forwarded
             write_certificate(new, tmp_path)
-            os.utime(tmp_path / "cert.pem", (1, 1))
-            assert (await proxy(new, True).ask("GET", "/balance/3")).forwarded
-            assert not (await proxy(old, True).ask("GET", "/balance/4")).forwarded
+            os.utime(tmp_path / "cert.pem", (1, 1))  # a changed modification time triggers the reload
+            assert (await new_proxy(new, True).ask("GET", "/balance/3")).forwarded
+            assert not (await new_proxy(old, True).ask("GET", "/balance/4")).forwarded
 
     run_async(check)
 
@@ -285,7 +288,7 @@
 # Imports
 
 
-def test_grpc_is_not_imported_where_no_listener_speaks_it(tmp_path: Path) -> None:
+def test_grpc_is_not_imported_if_no_listener_needs_it(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(OPERATOR_FILE.format(proxies="127.0.0.1:1", cold="").replace("extproc", "subrequest"))
     code = (
--- a/tests/frontends/test_extproc_messages.py
+++ b/tests/frontends/test_extproc_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the external-processing service, as a proxy would decode and encode them."""
+"""Decoding and encoding of messages of the external-processing service, as seen by a proxy."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def header_map(*fields: tuple[str, str]) -> core_pb2.HeaderMap:
-    """Return headers in the given order."""
+    """Return the protobuf message of these headers, in the given order."""
     headers = core_pb2.HeaderMap()
     for name, value in fields:
         headers.headers.add(key=name, raw_value=value.encode("latin-1"))
@@ -25,7 +25,7 @@
 
 
 def fields_of(mutation: extproc_pb2.HeaderMutation) -> dict[str, str]:
-    """Return the headers that a response sets."""
+    """Return the headers that a response has the proxy set."""
     return {option.header.key: option.header.raw_value.decode() for option in mutation.set_headers}
 
 
@@ -53,16 +53,16 @@
     ("text", "status"), [("200", 200), ("503", 503), ("20", UNKNOWN_STATUS), ("abc", UNKNOWN_STATUS)]
 )
 def test_a_status_has_three_digits(text: str, status: int) -> None:
-    """Anything else is an unknown status."""
+    """Any other text is an unknown status."""
     assert extproc_messages.response_status(header_map((":status", text))) == status
 
 
 def test_a_response_without_a_status_has_an_unknown_one() -> None:
-    """Other headers do not matter."""
+    """Only the pseudo-header `:status` counts, not a header named `status`."""
     assert extproc_messages.response_status(header_map(("status", "200"))) == UNKNOWN_STATUS
 
 
-def test_a_value_may_come_in_the_field_for_text() -> None:
+def test_a_header_value_is_also_read_from_the_text_field() -> None:
     """Older proxies send `value` instead of `raw_value`."""
     headers = core_pb2.HeaderMap()
     headers.headers.add(key=":status", value="404")
@@ -80,12 +80,12 @@
 
 
 def test_a_message_without_a_known_kind_has_none() -> None:
-    """It is answered by nothing."""
+    """Such a message gets no response."""
     assert extproc_messages.message_kind(ProcessingRequest()) is None
 
 
-def test_a_rejection_says_when_to_retry_and_that_nothing_ran() -> None:
-    """Retry-After is in whole seconds, rounded up; its exact value is in milliseconds."""
+def test_a_rejection_states_when_to_retry_and_that_nothing_ran() -> None:
+    """Retry-After is rounded up to whole seconds; X-Retry-After-Ms has the value in milliseconds."""
     verdict = ImmediateResponse(503, "refused", not_run=True, retry_after=1.25, no_retry_elsewhere=True)
     encoded = extproc_messages.encode_immediate(verdict, load=0.5, content_type="text/plain")
     immediate = ProcessingResponse.FromString(encoded).immediate_response
@@ -101,7 +101,7 @@
 
 
 def test_a_stored_result_is_sent_with_its_content_type() -> None:
-    """An empty result is a result too."""
+    """Also an empty result is sent as a result, not as an error text."""
     verdict = ImmediateResponse(200, "", not_run=False, result=b"")
     encoded = extproc_messages.encode_immediate(verdict, load=None, content_type="text/plain")
     immediate = ProcessingResponse.FromString(encoded).immediate_response
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.parametrize(("time_left", "budget_ms"), [(0.25, "250"), (-0.1, "0")])
-def test_a_request_goes_on_with_the_budget_that_is_left(time_left: float, budget_ms: str) -> None:
-    """A budget that is used up is 0 on the wire."""
+def test_a_continued_request_carries_its_remaining_budget(time_left: float, budget_ms: str) -> None:
+    """An exhausted budget is sent as 0."""
     verdict = Continue(request_result=False)
     encoded = extproc_messages.encode_continue(verdict, time_left, load=2.0, answers_body=False)
     response = ProcessingResponse.FromString(encoded)
@@ -120,8 +120,8 @@
     assert not response.HasField("mode_override")
 
 
-def test_a_verdict_awaited_with_the_body_answers_the_body_and_may_ask_for_the_result() -> None:
-    """Without the core's launch there is no budget to state."""
+def test_a_verdict_on_a_body_answers_the_body_and_may_ask_for_the_result() -> None:
+    """Without the core's permission to run there is no budget header."""
     verdict = Continue(request_result=True)
     encoded = extproc_messages.encode_continue(verdict, None, load=None, answers_body=True)
     response = ProcessingResponse.FromString(encoded)
@@ -131,8 +131,8 @@
     assert response.mode_override.response_header_mode == mode_pb2.ProcessingMode.SEND
 
 
-def test_the_complete_bodies_of_a_request_and_its_response_can_be_asked_for() -> None:
-    """The response answers the request's headers."""
+def test_a_body_request_asks_for_the_complete_bodies_of_request_and_response() -> None:
+    """It is the response to the request's headers."""
     response = ProcessingResponse.FromString(extproc_messages.encode_body_request())
     assert response.WhichOneof("response") == "request_headers"
     assert response.mode_override.request_body_mode == mode_pb2.ProcessingMode.BUFFERED
--- a/tests/frontends/test_shared_idempotency_keys.py
+++ b/tests/frontends/test_shared_idempotency_keys.py
@@ -8,7 +8,7 @@
 
 from shelfhaven.lab.callers import connect, until, variables
 from shelfhaven.protocol import uwsgi
-from tests.frontends.nodes import body_of, running_node
+from tests.frontends.nodes import result_body, running_node
 from tests.peers import run_async
 
 
@@ -19,60 +19,60 @@
 ) -> None:
     async def check() -> None:
         async with running_node() as node:
-            router = await node.router()
+            router = await node.connect_router()
             if while_it_runs:
                 node.backends[0].release.clear()
 
-            async def by(protocol: str) -> bytes:
+            async def send_by(protocol: str) -> bytes:
                 if protocol == "uwsgi":
                     return (await node.topup("k")).body
-                node.topup_by(router, 1, "k")
-                return body_of(await router.answer(1))
+                node.send_topup(router, 1, "k")
+                return result_body(await router.answer(1))
 
-            one = asyncio.ensure_future(by(first))
+            original = asyncio.ensure_future(send_by(first))
             await until(lambda: node.runs)
             if not while_it_runs:
-                await one
-            other = asyncio.ensure_future(by("jsonrpc" if first == "uwsgi" else "uwsgi"))
+                await original
+            duplicate = asyncio.ensure_future(send_by("jsonrpc" if first == "uwsgi" else "uwsgi"))
             if while_it_runs:
                 await until(lambda: len(node.app.core.requests) == 2)
                 node.backends[0].release.set()
-            assert await one == await other == b"made for five"
-            assert node.ran(b"five") == 1
+            assert await original == await duplicate == b"made for five"
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
 
-def test_a_duplicate_after_the_result_was_dropped_fails_and_is_never_run_again() -> None:
+def test_a_duplicate_of_a_request_whose_result_was_evicted_fails_and_is_not_run() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.app.core.keys.table.results.capacity_bytes = 0
             assert (await node.topup("k")).status == 200
-            router = await node.router()
-            node.topup_by(router, 1, "k")
+            router = await node.connect_router()
+            node.send_topup(router, 1, "k")
             assert (await router.answer(1))["error"]["code"] == -32001
             reply = await node.topup("k")
             assert (reply.status, reply.not_run) == (502, False)
-            assert node.ran(b"five") == 1
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
 
-def test_a_duplicate_after_the_answer_was_lost_with_its_connection_gets_the_result() -> None:
+def test_a_duplicate_gets_the_result_if_the_original_answer_was_lost_with_its_connection() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].release.clear()
-            _, writer = await connect(node.gateways)
+            _, writer = await connect(node.gateway_address)
             writer.write(uwsgi.encode(variables("POST", "/topup", HTTP_IDEMPOTENCY_KEY="k"), b"five"))
             await until(lambda: node.runs)
             writer.transport.abort()
             await until(lambda: not node.app.core.requests.unanswered)
             node.backends[0].release.set()
             await until(lambda: not node.app.core.requests)
-            router = await node.router()
-            node.topup_by(router, 1, "k")
-            assert body_of(await router.answer(1)) == b"made for five"
-            assert node.ran(b"five") == 1
+            router = await node.connect_router()
+            node.send_topup(router, 1, "k")
+            assert result_body(await router.answer(1)) == b"made for five"
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
@@ -83,9 +83,9 @@
             assert (await node.topup("k")).body == b"made for five"
             assert (await node.topup("k", b"ten")).body == b"made for ten"
             assert (await node.topup("k", HTTP_X_TENANT="bank")).body == b"made for five"
-            router = await node.router()
-            node.topup_by(router, 1, "k", org="bank")
-            assert body_of(await router.answer(1)) == b"made for five"
-            assert (node.ran(b"five"), node.ran(b"ten")) == (2, 1)
+            router = await node.connect_router()
+            node.send_topup(router, 1, "k", org="bank")
+            assert result_body(await router.answer(1)) == b"made for five"
+            assert (node.run_count(b"five"), node.run_count(b"ten")) == (2, 1)
 
     run_async(check)
--- a/tests/frontends/test_subrequest.py
+++ b/tests/frontends/test_subrequest.py
@@ -1,4 +1,4 @@
-"""Proxies that ask by plain HTTP subrequests."""
+"""The frontend for proxies that ask by plain HTTP subrequests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.peers import run_async
 
 
-async def subrequest(address: Address, method: str, path: str, **headers: str) -> Reply:
+async def send_subrequest(address: Address, method: str, path: str, **headers: str) -> Reply:
     reader, writer = await connect(address)
     lines = [f"GET /auth HTTP/1.1\r\nHost: x\r\nX-Original-Method: {method}\r\nX-Original-URI: {path}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
@@ -35,11 +35,14 @@
 async def running_subrequest_node(
     lease: str = "200ms", **changes: Any
 ) -> AsyncIterator[tuple[ProxyNode, Address]]:
-    """A running server with a listener of subrequests beside the others, and its address."""
-    auth = reserved_address()
-    more = f'verdict="300ms"\nlisten "a" protocol="subrequest" address="{auth}" mapping="m" lease="{lease}"'
-    async with running_proxy_node(consult=more, **changes) as node:
-        yield node, auth
+    """Run a server that also listens for subrequests; yields it with the address of that listener."""
+    address = reserved_address()
+    # The text ends the options of the listener for proxies and adds a second listener.
+    consult = (
+        f'verdict="300ms"\nlisten "a" protocol="subrequest" address="{address}" mapping="m" lease="{lease}"'
+    )
+    async with running_proxy_node(consult=consult, **changes) as node:
+        yield node, address
 
 
 @pytest.mark.parametrize(
@@ -48,34 +51,34 @@
 )
 def test_the_status_of_a_subrequest_is_the_verdict(method: str, path: str, status: int) -> None:
     async def check() -> None:
-        async with running_subrequest_node() as (node, auth):
-            reply = await subrequest(auth, method, path)
+        async with running_subrequest_node() as (node, address):
+            reply = await send_subrequest(address, method, path)
             assert reply.status == status
             assert reply.not_run == (status != 200)
             assert ("x-budget-left-ms" in reply.fields) == (status == 200)
-            await until(lambda: not node.app.core.requests)  # the lease is over
+            await until(lambda: not node.app.core.requests)  # the lease has expired
 
     run_async(check)
 
 
 def test_a_subrequest_beyond_capacity_is_rejected_with_retry_after() -> None:
     async def check() -> None:
-        async with running_subrequest_node(lease="2s", at_once=1) as (node, auth):
-            assert (await subrequest(auth, "GET", "/balance/1")).status == 200
-            reply = await subrequest(auth, "GET", "/balance/2")
+        async with running_subrequest_node(lease="2s", at_once=1) as (node, address):
+            assert (await send_subrequest(address, "GET", "/balance/1")).status == 200
+            reply = await send_subrequest(address, "GET", "/balance/2")
             assert (reply.status, reply.not_run) == (403, True)
             assert reply.retry_after > 0
 
     run_async(check)
 
 
-def test_a_keyed_subrequest_continues_once_within_its_key_ttl() -> None:
+def test_a_keyed_subrequest_is_accepted_once_within_the_key_ttl() -> None:
     async def check() -> None:
-        async with running_subrequest_node() as (node, auth):
+        async with running_subrequest_node() as (node, address):
             key = {"Idempotency-Key": "k"}
-            assert (await subrequest(auth, "POST", "/topup", **key)).status == 200
+            assert (await send_subrequest(address, "POST", "/topup", **key)).status == 200
             await until(lambda: not node.app.core.requests)
-            reply = await subrequest(auth, "POST", "/topup", **key)
+            reply = await send_subrequest(address, "POST", "/topup", **key)
             assert (reply.status, reply.not_run) == (502, False)
 
     run_async(check)
@@ -83,13 +86,13 @@
 
 def test_a_subrequest_whose_proxy_gives_up_before_the_verdict_is_withdrawn() -> None:
     async def check() -> None:
-        async with running_subrequest_node(lease="5s", at_once=1) as (node, auth):
+        async with running_subrequest_node(lease="5s", at_once=1) as (node, address):
             release = asyncio.Event()
-            proxy = node.proxy()
+            proxy = node.new_proxy()
             proxy.upstream = upstream_waiting_for(release)
             holding = asyncio.ensure_future(proxy.ask("GET", "/balance/1"))
             await until(lambda: node.forwarded)
-            _, writer = await connect(auth)
+            _, writer = await connect(address)
             writer.write(b"GET /balance/2 HTTP/1.1\r\nHost: x\r\n\r\n")
             await until(lambda: len(node.app.core.requests) == 2)
             writer.close()
--- a/tests/frontends/test_tls_credentials.py
+++ b/tests/frontends/test_tls_credentials.py
@@ -1,4 +1,4 @@
-"""TLS credentials of a gRPC listener: files are read again when they change, and never lost."""
+"""TLS credentials of a gRPC listener: changed files are reloaded, otherwise the old ones stay in use."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from shelfhaven.operator_config import Tls
 
 
-def written(folder: Path) -> Tls:
+def write_certificate(folder: Path) -> Tls:
     """Write a certificate and its key, and return their paths."""
     issued = trustme.CA().issue_cert("localhost")
     certificate = folder / "certificate.pem"
@@ -22,36 +22,36 @@
     return Tls(certificate, key)
 
 
-def age(path: Path) -> None:
-    """Give a file another modification time."""
+def change_modification_time(path: Path) -> None:
+    """Change the modification time of a file."""
     modified_at = path.stat().st_mtime - 10.0
     os.utime(path, (modified_at, modified_at))
 
 
 def test_unchanged_files_are_not_read_again(tmp_path: Path) -> None:
-    """None has gRPC go on with what it has."""
-    assert CertificateFiles(written(tmp_path)).load_changed() is None
+    """The result None makes gRPC keep the current certificate."""
+    assert CertificateFiles(write_certificate(tmp_path)).load_if_changed() is None
 
 
 def test_changed_files_are_read_once(tmp_path: Path) -> None:
     """Each change yields one new configuration."""
-    tls = written(tmp_path)
+    tls = write_certificate(tmp_path)
     files = CertificateFiles(tls)
-    age(tls.certificate)
-    assert files.load_changed() is not None
-    assert files.load_changed() is None
+    change_modification_time(tls.certificate)
+    assert files.load_if_changed() is not None
+    assert files.load_if_changed() is None
 
 
 def test_a_missing_file_leaves_the_old_certificate_in_use_until_it_is_back(tmp_path: Path) -> None:
-    """A replacement that is under way must not end the listener."""
-    tls = written(tmp_path)
+    """The listener must keep working while an operator is replacing the files."""
+    tls = write_certificate(tmp_path)
     files = CertificateFiles(tls)
     pem = tls.key.read_bytes()
     tls.key.unlink()
-    assert files.load_changed() is None
+    assert files.load_if_changed() is None
     tls.key.write_bytes(pem)
-    age(tls.key)
-    assert files.load_changed() is not None
+    change_modification_time(tls.key)
+    assert files.load_if_changed() is not None
 
 
 def test_files_that_are_missing_at_the_start_are_an_error(tmp_path: Path) -> None:
--- a/tests/frontends/test_uwsgi.py
+++ b/tests/frontends/test_uwsgi.py
@@ -1,4 +1,4 @@
-"""The uwsgi frontend: the ordinary path, and what cannot be read."""
+"""The uwsgi frontend: regular requests, invalid requests and unreadable streams."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from shelfhaven.lab.backend_stub import StubMode
 from shelfhaven.lab.callers import connect, read_reply, until, variables
 from shelfhaven.protocol import uwsgi
-from tests.frontends.nodes import FrontendNode, body_of, running_node
+from tests.frontends.nodes import FrontendNode, result_body, running_node
 from tests.peers import run_async
 
-# The ordinary path
+# Regular requests
 
 
 def test_a_gateway_is_served_by_a_backend_that_gets_its_request() -> None:
     async def check() -> None:
         async with running_node() as node:
-            more = {"HTTP_X_TRACE": "t1", "HTTP_X_TIME_LEFT_MS": "900"}
-            reply = await node.ask("GET", "/balance/234?full=1", b"", **more)
+            headers = {"HTTP_X_TRACE": "t1", "HTTP_X_TIME_LEFT_MS": "900"}
+            reply = await node.ask("GET", "/balance/234?full=1", b"", **headers)
             assert (reply.status, reply.body) == (200, b"made for /balance/234")
             assert reply.fields["content-type"] == "application/json"
             (request,) = node.backends[0].requests
@@ -36,31 +36,31 @@
 def test_a_router_is_served_by_the_same_backends() -> None:
     async def check() -> None:
         async with running_node() as node:
-            router = await node.router()
+            router = await node.connect_router()
             router.request(1, "balance", org="retail")
-            assert body_of(await router.answer(1)) == b"made for ask"
+            assert result_body(await router.answer(1)) == b"made for ask"
             assert node.runs[0].path == "/balance/any"
 
     run_async(check)
 
 
-def test_a_listener_on_a_unix_socket_serves_and_leaves_no_file() -> None:
+def test_a_listener_on_a_unix_socket_serves_and_removes_its_file() -> None:
     async def check() -> None:
-        running = FrontendNode(1)
-        running.gateways = Path(running.folder.name) / "gateway.sock"
-        running.values["stop"] = "300ms"
-        await running.start()
-        assert (await running.ask("GET", "/balance/1")).status == 200
-        running.app.request_drain()
-        await running.running
-        assert not running.gateways.exists()
-        running.backends[0].stop()
-        running.folder.cleanup()
+        node = FrontendNode(1)
+        node.gateway_address = Path(node.folder.name) / "gateway.sock"
+        node.template_values["stop"] = "300ms"
+        await node.start()
+        assert (await node.ask("GET", "/balance/1")).status == 200
+        node.app.request_drain()
+        await node.task
+        assert not node.gateway_address.exists()
+        node.backends[0].stop()
+        node.folder.cleanup()
 
     run_async(check)
 
 
-def test_health_and_load_have_paths_of_their_own() -> None:
+def test_health_and_load_are_reported_on_their_own_paths() -> None:
     async def check() -> None:
         async with running_node() as node:
             assert (await node.ask("GET", "/-/health")).status == 200
@@ -76,7 +76,7 @@
 def test_a_persistent_connection_carries_further_requests() -> None:
     async def check() -> None:
         async with running_node(listen="keep=true") as node:
-            reader, writer = await connect(node.gateways)
+            reader, writer = await connect(node.gateway_address)
             for number in range(3):
                 writer.write(uwsgi.encode(variables("GET", f"/balance/{number}")))
                 reply = await read_reply(reader)
@@ -87,7 +87,7 @@
     run_async(check)
 
 
-# What cannot be read
+# Invalid requests and unreadable streams
 
 
 @pytest.mark.parametrize(
@@ -106,10 +106,10 @@
         (b"", 408),
     ],
 )
-def test_a_request_that_cannot_be_served_closes_its_own_connection_only(data: bytes, status: int) -> None:
+def test_an_invalid_request_is_answered_and_closes_only_its_own_connection(data: bytes, status: int) -> None:
     async def check() -> None:
         async with running_node() as node:
-            reader, writer = await connect(node.gateways)
+            reader, writer = await connect(node.gateway_address)
             writer.write(data)
             reply = await read_reply(reader)
             assert (reply.status, reply.not_run) == (status, True)
@@ -121,26 +121,26 @@
     run_async(check)
 
 
-def test_a_body_that_is_far_too_large_is_rejected_while_it_is_still_received() -> None:
+def test_a_body_over_the_limit_is_rejected_while_it_is_still_being_received() -> None:
     async def check() -> None:
         async with running_node() as node:
-            reader, writer = await connect(node.gateways)
+            reader, writer = await connect(node.gateway_address)
             writer.write(uwsgi.encode(variables("POST", "/topup"), b"x" * 500_000)[:200_000])
             assert (await read_reply(reader)).status == 413
             for _ in range(10):
                 writer.write(b"x" * 20_000)
                 await writer.drain()
-            assert await reader.read() == b""  # an end, no reset that could overtake the answer
+            assert await reader.read() == b""  # the stream ends; a reset could have overtaken the answer
             writer.close()
 
     run_async(check)
 
 
-def test_bytes_after_a_request_do_not_cost_its_answer() -> None:
+def test_a_request_followed_by_unexpected_bytes_is_still_answered() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].release.clear()
-            reader, writer = await connect(node.gateways)
+            reader, writer = await connect(node.gateway_address)
             writer.write(uwsgi.encode(variables("GET", "/balance/1")) + b"\x00\x00")
             await until(lambda: node.runs)
             node.backends[0].release.set()
@@ -151,18 +151,18 @@
     run_async(check)
 
 
-def test_an_answer_that_is_not_read_is_given_up_in_time() -> None:
+def test_a_connection_whose_answer_is_not_read_is_closed_after_a_timeout() -> None:
     async def check() -> None:
         async with running_node(listen='unread="200ms"') as node:
-            big = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 1_000_000
+            large_response = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 1_000_000
             node.backends[0].mode = StubMode.RAW
-            node.backends[0].raw_response = big
+            node.backends[0].raw_response = large_response
             reader, writer = await asyncio.open_connection(
                 "127.0.0.1",
-                node.gateways.port,  # type: ignore[union-attr]
+                node.gateway_address.port,  # type: ignore[union-attr]
                 limit=1024,
             )
-            writer.transport.get_extra_info("socket").setsockopt(1, 8, 4096)
+            writer.transport.get_extra_info("socket").setsockopt(1, 8, 4096)  # SOL_SOCKET, SO_RCVBUF
             writer.write(uwsgi.encode(variables("GET", "/balance/1")))
             await until(lambda: node.app.listeners[0].connections)
             await until(lambda: not node.app.listeners[0].connections)
@@ -172,11 +172,11 @@
     run_async(check)
 
 
-def test_a_caller_that_closes_early_is_a_cancel() -> None:
+def test_a_request_is_cancelled_when_its_caller_closes_the_connection() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].release.clear()
-            _, writer = await connect(node.gateways)
+            _, writer = await connect(node.gateway_address)
             writer.write(uwsgi.encode(variables("GET", "/balance/1")))
             await until(lambda: node.runs)
             writer.close()
--- a/tests/frontends/test_uwsgi_faults.py
+++ b/tests/frontends/test_uwsgi_faults.py
@@ -1,4 +1,4 @@
-"""Gateways and routers on one core while backends fail, the file changes or the server drains."""
+"""Gateways and routers on one core while backends fail, the configuration changes or the server drains."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from shelfhaven.lab.callers import connect, read_reply, until
 from shelfhaven.lab.checker import AnswerKind, Attempt
 from shelfhaven.program.app import Phase
-from tests.frontends.nodes import body_of, running_node
+from tests.frontends.nodes import result_body, running_node
 from tests.peers import run_async
 
 # A malformed packet during a drain
 
 
-def test_a_malformed_packet_during_a_drain_harms_nobody_else() -> None:
+def test_a_malformed_packet_during_a_drain_does_not_affect_other_connections() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].release.clear()
-            router = await node.router()
+            router = await node.connect_router()
             router.request(1, "balance", org="retail")
             waiting = asyncio.ensure_future(node.topup("k"))
             await until(lambda: len(node.runs) == 2)
             node.app.request_drain()
             await until(lambda: node.app.phase is Phase.DRAINING)
-            reader, writer = await connect(node.gateways)
-            writer.write(b"\x00\x03\x00\x00\x09\x00a")
-            assert (await read_reply(reader)).status == 400
-            other, bad = await connect(node.routers)
-            bad.write(b"Content-Length: -1\r\n\r\n")
-            await other.read()
+            gateway_reader, gateway_writer = await connect(node.gateway_address)
+            gateway_writer.write(b"\x00\x03\x00\x00\x09\x00a")
+            assert (await read_reply(gateway_reader)).status == 400
+            router_reader, router_writer = await connect(node.router_address)
+            router_writer.write(b"Content-Length: -1\r\n\r\n")
+            await router_reader.read()
             node.backends[0].release.set()
-            assert body_of(await router.answer(1)) == b"made for ask"
+            assert result_body(await router.answer(1)) == b"made for ask"
             assert (await waiting).body == b"made for five"
-            await node.running
+            await node.task
             assert node.app.phase is Phase.ENDED
-            writer.close()
-            bad.close()
+            gateway_writer.close()
+            router_writer.close()
 
     run_async(check)
 
@@ -55,13 +55,13 @@
             await until(lambda: node.runs)
             os.kill(os.getpid(), signal.SIGTERM)
             await until(lambda: node.app.phase is Phase.DRAINING)
-            core = node.app.core.controller
-            core.state.shutdown.started_at -= 60  # the grace is over
+            controller = node.app.core.controller
+            controller.state.shutdown.started_at -= 60  # ends the grace
             late = await node.ask("GET", "/balance/9")
             assert (late.status, late.not_run) == (503, True)
             node.backends[0].release.set()
             assert (await waiting).status == 200
-            await node.running
+            await node.task
 
     run_async(check)
 
@@ -69,20 +69,20 @@
 # Failing backends
 
 
-@pytest.mark.parametrize(("path", "runs"), [("/balance/1", 2), ("/order/1", 1)])
-def test_a_run_whose_connection_closes_is_only_retried_if_idempotent(path: str, runs: int) -> None:
+@pytest.mark.parametrize(("path", "run_count"), [("/balance/1", 2), ("/order/1", 1)])
+def test_a_run_whose_connection_closes_is_only_retried_if_idempotent(path: str, run_count: int) -> None:
     async def check() -> None:
         async with running_node(2) as node:
             for backend in node.backends:
                 backend.mode = StubMode.RUN_AND_CLOSE
             reply = await node.ask("POST", path, b"x")
             assert (reply.status, reply.not_run) == (502, False)
-            assert len(node.runs) == runs
+            assert len(node.runs) == run_count
 
     run_async(check)
 
 
-def test_a_keyed_run_whose_answer_was_lost_is_never_run_again() -> None:
+def test_a_keyed_request_whose_answer_was_lost_is_not_run_again() -> None:
     async def check() -> None:
         async with running_node(2) as node:
             for backend in node.backends:
@@ -91,32 +91,32 @@
             for backend in node.backends:
                 backend.mode = StubMode.SERVE
             assert (await node.topup("k")).status == 502
-            assert node.ran(b"five") == 1
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
 
-@pytest.mark.parametrize("dead", [True, False])
-def test_a_request_that_no_backend_took_is_rejected_as_not_run_and_may_be_retried(dead: bool) -> None:
+@pytest.mark.parametrize("is_down", [True, False])
+def test_a_request_that_no_backend_accepted_is_rejected_as_not_run_and_can_be_retried(is_down: bool) -> None:
     async def check() -> None:
         async with running_node(2) as node:
             for backend in node.backends:
                 backend.mode = StubMode.REJECT
-                if dead:
+                if is_down:
                     backend.stop()
             reply = await node.topup("k")
             assert (reply.status, reply.not_run) == (503, True)
             for backend in node.backends:
                 backend.mode = StubMode.SERVE
-                if dead:
+                if is_down:
                     await backend.start()
             assert (await node.topup("k")).body == b"made for five"
-            assert node.ran(b"five") == 1
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
 
-def test_a_dead_backend_costs_no_answer_while_another_is_up() -> None:
+def test_all_requests_are_served_while_one_of_two_backends_is_down() -> None:
     async def check() -> None:
         async with running_node(2) as node:
             node.backends[0].stop()
@@ -127,22 +127,22 @@
     run_async(check)
 
 
-def test_an_answer_after_the_callers_deadline_is_stored_for_its_duplicate() -> None:
+def test_a_result_that_comes_after_the_callers_deadline_is_stored_for_a_duplicate() -> None:
     async def check() -> None:
         async with running_node(deadline="2s") as node:
             node.backends[0].release.clear()
             started = time.monotonic()
             reply = await node.topup("k", HTTP_X_TIME_LEFT_MS="300")
             assert (reply.status, reply.not_run) == (504, False)
-            await until(lambda: time.monotonic() > started + 0.4)  # the caller's time is over
+            await until(lambda: time.monotonic() > started + 0.4)  # the caller's deadline has passed
             node.backends[0].release.set()
             assert (await node.topup("k")).body == b"made for five"
-            assert node.ran(b"five") == 1
+            assert node.run_count(b"five") == 1
 
     run_async(check)
 
 
-def test_hanging_backends_cost_no_answer_and_differ_from_rejections() -> None:
+def test_requests_are_answered_while_backends_hang_and_those_sent_to_one_are_not_marked_as_not_run() -> None:
     async def check() -> None:
         async with running_node(2, deadline="700ms") as node:
             for backend in node.backends:
@@ -151,10 +151,10 @@
                 *(node.topup(f"k{number}", b"%d" % number) for number in range(30))
             )
             assert {reply.status for reply in replies} <= {502, 503, 504}
-            sent = {request.body for backend in node.backends for request in backend.requests}
+            sent_bodies = {request.body for backend in node.backends for request in backend.requests}
             for number, reply in enumerate(replies):
                 assert reply.not_run == (reply.status == 503)
-                assert not (reply.not_run and b"%d" % number in sent)
+                assert not (reply.not_run and b"%d" % number in sent_bodies)
 
     run_async(check)
 
@@ -170,7 +170,7 @@
         b"",
     ],
 )
-def test_a_malformed_response_is_a_failure_and_no_result(raw: bytes) -> None:
+def test_a_malformed_response_fails_the_request(raw: bytes) -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].mode = StubMode.RAW
@@ -183,7 +183,7 @@
     run_async(check)
 
 
-def test_a_response_without_a_length_that_a_reset_cuts_short_is_a_failure() -> None:
+def test_a_response_without_a_length_that_is_truncated_by_a_reset_fails_the_request() -> None:
     async def check() -> None:
         async with running_node() as node:
             node.backends[0].mode = StubMode.RAW_AND_RESET
@@ -198,9 +198,9 @@
 def test_a_valid_response_with_or_without_a_length_is_accepted(length: bytes) -> None:
     async def check() -> None:
         async with running_node() as node:
-            more = b"trailing" if length else b""
+            trailing = b"trailing" if length else b""
             node.backends[0].mode = StubMode.RAW
-            node.backends[0].raw_response = b"HTTP/1.1 200 OK\r\n" + length + b"\r\ngood" + more
+            node.backends[0].raw_response = b"HTTP/1.1 200 OK\r\n" + length + b"\r\ngood" + trailing
             assert (await node.topup("k")).body == b"good"
 
     run_async(check)
@@ -219,7 +219,7 @@
             old.release.clear()
             waiting = [asyncio.ensure_future(node.topup(f"k{number}", b"%d" % number)) for number in range(4)]
             await until(lambda: len(node.runs) == 4)
-            node.write([new])
+            node.write_operator_file([new])
             os.kill(os.getpid(), signal.SIGHUP)
             assert node.app.pools
             pool = node.app.pools.pools["p"].router.pool
@@ -236,23 +236,25 @@
     run_async(check)
 
 
-def test_sighup_with_a_faulty_file_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_reload_rejects_an_invalid_file_and_keeps_the_old_configuration(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def check() -> None:
         async with running_node(1) as node:
-            lines: list[tuple[str, dict[str, object]]] = []
-            monkeypatch.setattr(node.app.log, "event", lambda event, **more: lines.append((event, more)))
+            events: list[tuple[str, dict[str, object]]] = []
+            monkeypatch.setattr(node.app.log, "event", lambda event, **fields: events.append((event, fields)))
             before = node.app.files.operator
-            node.write(pool="limit most=0")
+            node.write_operator_file(pool="limit most=0")
             node.app.reload()
             assert node.app.files.operator is before
-            (refused,) = [more for event, more in lines if event == "reload_refused"]
-            assert 'pool "p" > limit most' in str(refused["error"])
-            node.write(pool="limit first=2 most=4", at_once=3)
+            (rejection,) = [fields for event, fields in events if event == "reload_refused"]
+            assert 'pool "p" > limit most' in str(rejection["error"])
+            node.write_operator_file(pool="limit first=2 most=4", at_once=3)
             node.app.reload()
             assert node.app.pools
             assert node.app.pools.pools["p"].router.settings.max_limit == 4
-            (taken,) = [more for event, more in lines if event == "reloaded"]
-            assert taken["kept_until_restart"] == ["settings"]
+            (reload,) = [fields for event, fields in events if event == "reloaded"]
+            assert reload["kept_until_restart"] == ["settings"]
             assert (await node.topup("k")).status == 200
 
     run_async(check)
@@ -262,7 +264,7 @@
 
 
 @pytest.mark.alone
-def test_both_protocols_at_twice_the_capacity_with_a_dead_backend_and_a_drain_break_no_rule() -> None:
+def test_no_violation_at_twice_the_capacity_by_both_protocols_with_a_dead_backend_and_a_drain() -> None:
     scenario = demo.run_scenario(3.0, 2.0, 7, progress=False, drain_at=0.8)
     attempts, runs, exit_code = asyncio.run(scenario)
     assert exit_code == 0
@@ -273,32 +275,34 @@
     assert kinds.count(AnswerKind.NOT_REACHED) > 0
 
 
-def test_the_checker_reports_each_broken_rule() -> None:
-    def one(key: str = "", body: bytes = b"x") -> Attempt:
+def test_the_checker_reports_each_kind_of_violation() -> None:
+    def attempt(key: str = "", body: bytes = b"x") -> Attempt:
         return Attempt("uwsgi", "topup", "retail", key, body, "/topup", 100.0, 104.0, 102.0)
 
     def run(body: bytes = b"x") -> ExecutedRun:
         return ExecutedRun("v", 101.0, "/topup", "k", body, "c")
 
-    good = one("k")
-    good.record_answer(101.0, AnswerKind.SERVED, b"made for x")
-    assert checker.find_violations([good], [run()]) == []
-    assert checker.find_violations([one()], []) == ["lost: uwsgi topup b'x'"]
-    twice = one()
-    twice.record_answer(101.0, AnswerKind.FAILED)
-    twice.record_answer(101.0, AnswerKind.FAILED)
-    assert "answered 2 times" in checker.find_violations([twice], [])[0]
-    late = one()
+    served = attempt("k")
+    served.record_answer(101.0, AnswerKind.SERVED, b"made for x")
+    assert checker.find_violations([served], [run()]) == []
+    assert checker.find_violations([attempt()], []) == ["lost: uwsgi topup b'x'"]
+    answered_twice = attempt()
+    answered_twice.record_answer(101.0, AnswerKind.FAILED)
+    answered_twice.record_answer(101.0, AnswerKind.FAILED)
+    assert "answered 2 times" in checker.find_violations([answered_twice], [])[0]
+    late = attempt()
     late.record_answer(104.2, AnswerKind.FAILED)
     assert "late" in checker.find_violations([late], [])[0]
-    assert "run 2 times" in checker.find_violations([good], [run(), run()])[0]
-    assert "no run made" in checker.find_violations([good], [])[0]
-    refused = one("k")
-    refused.record_answer(101.0, AnswerKind.REJECTED)
-    assert "refused and yet run" in checker.find_violations([refused], [run()])[0]
+    assert "run 2 times" in checker.find_violations([served], [run(), run()])[0]
+    assert "no run made" in checker.find_violations([served], [])[0]
+    rejected = attempt("k")
+    rejected.record_answer(101.0, AnswerKind.REJECTED)
+    assert "refused and yet run" in checker.find_violations([rejected], [run()])[0]
 
 
-def test_flapping_and_slow_backends_cost_idempotent_requests_no_answer_and_keyed_ones_no_second_run() -> None:
+def test_with_flapping_and_slow_backends_idempotent_requests_succeed_and_keyed_ones_run_at_most_once() -> (
+    None
+):
     async def check() -> None:
         async with running_node(4, deadline="3s") as node:
             for backend in node.backends:
@@ -314,15 +318,19 @@
 
             flapping = asyncio.ensure_future(flap())
             for batch in range(20):
-                asked = [node.ask("GET", f"/balance/{batch}-{number}") for number in range(4)]
-                asked += [node.topup(f"k{batch}-{number}", b"%d-%d" % (batch, number)) for number in range(4)]
-                replies = await asyncio.gather(*asked)
+                requests = [node.ask("GET", f"/balance/{batch}-{number}") for number in range(4)]
+                requests += [
+                    node.topup(f"k{batch}-{number}", b"%d-%d" % (batch, number)) for number in range(4)
+                ]
+                replies = await asyncio.gather(*requests)
                 assert {reply.status for reply in replies[:4]} == {200}
                 for number, reply in enumerate(replies[4:]):
                     assert (
-                        reply.status == 200 or not reply.not_run or not node.ran(b"%d-%d" % (batch, number))
+                        reply.status == 200
+                        or not reply.not_run
+                        or not node.run_count(b"%d-%d" % (batch, number))
                     )
             flapping.cancel()
-            assert max(node.ran(run.body) for run in node.runs if run.key) == 1
+            assert max(node.run_count(run.body) for run in node.runs if run.key) == 1
 
     run_async(check)
