--- a/shelfhaven/frontends/connection.py
+++ b/shelfhaven/frontends/connection.py
@@ -83,8 +83,8 @@
         self.outgoing: list[bytes] = []
         self.draining = False  # a connection accepted now gets the announcement after its first data
         self.carries_health_checks = False
-        self.used = time.monotonic()  # time of the last message or answer
-        self.message_awaited_since = self.used  # time of the start, then of the first byte of each message
+        self.last_used_at = time.monotonic()  # time of the last message or answer
+        self.message_awaited_since = self.last_used_at  # then the time of each message's first byte
         self.silent = True  # no complete message has been received yet
         self.closed_by_reader = False  # the reading task has done its last read and closes the stream itself
         self.output_finished = asyncio.Event()  # an unreadable connection has no more answers to send
@@ -235,7 +235,7 @@
 
     def _record_message(self) -> None:
         """Record that a complete message was received."""
-        self.used = self.message_awaited_since = time.monotonic()
+        self.last_used_at = self.message_awaited_since = time.monotonic()
         self.silent = False
 
     def fail_unreadable(self, error: UnreadableStreamError) -> None:
@@ -257,7 +257,7 @@
 
     def is_evictable(self, now: float) -> bool:
         """Whether the connection can be closed at once: it is idle, and no request can cross the close."""
-        return now - self.used >= CLOSE_RACE_WINDOW_S and self.is_idle()
+        return now - self.last_used_at >= CLOSE_RACE_WINDOW_S and self.is_idle()
 
     def is_message_overdue(self, now: float) -> bool:
         """Whether the first message, or the rest of an incomplete one, has not come in time."""
@@ -270,7 +270,7 @@
         return (
             self.unread_answer_timeout is not None
             and self.stream.writing()
-            and now - self.used > self.unread_answer_timeout
+            and now - self.last_used_at > self.unread_answer_timeout
         )
 
     def _queue_answer(self, answer: messages.Answer) -> None:
@@ -286,7 +286,7 @@
         if self.outgoing:
             data = b"".join(self.outgoing)
             self.outgoing.clear()
-            self.used = time.monotonic()
+            self.last_used_at = time.monotonic()
             self.stream.write(data)
         self._close_if_done()
 
--- a/shelfhaven/frontends/listener.py
+++ b/shelfhaven/frontends/listener.py
@@ -29,7 +29,7 @@
 
 BACKLOG = 1024
 MIN_IDLE_CHECK_INTERVAL_S = 0.05  # between checks for idle connections
-WATCH_INTERVAL_S = 0.25  # between checks for stalled connections
+STALL_CHECK_INTERVAL_S = 0.25  # between checks for stalled connections
 MAX_EVICTIONS = 8  # connections closed at once when no further one can be accepted
 CLOSE_POLL_S = 0.02  # between checks for connections that can be closed during a shutdown
 ACCEPT_BACKOFF_S = 0.05  # pause in accepting when descriptors run out
@@ -213,7 +213,7 @@
                 self.log.event("answer_not_taken", listener=str(self.address))
                 connection.abort()
         self.stall_check_timer = asyncio.get_running_loop().call_later(
-            WATCH_INTERVAL_S, after_reading, self._close_stalled
+            STALL_CHECK_INTERVAL_S, after_reading, self._close_stalled
         )
 
     def _add_connection(self, accepted: socket.socket, peer: str) -> None:
@@ -250,7 +250,7 @@
             if (
                 not connection.unanswered
                 and not connection.carries_health_checks
-                and connection.used <= before
+                and connection.last_used_at <= before
             ):
                 connection.announce_shutdown()
 
--- a/shelfhaven/server/connection_eviction.py
+++ b/shelfhaven/server/connection_eviction.py
@@ -16,7 +16,7 @@
     """A connection as the eviction order sees it."""
 
     silent: bool  # no complete message has been received yet
-    used: float  # time of the last use; all connections use the same clock
+    last_used_at: float  # time of the last use; all connections use the same clock
 
 
 ConnectionT = TypeVar("ConnectionT", bound=EvictableConnection)
@@ -33,4 +33,4 @@
     active_count = len(connections) - len(silent)
     only_silent = active_count <= PROTECTED_ACTIVE_FRACTION * len(connections)
     candidates = silent if only_silent else connections
-    return sorted(candidates, key=lambda connection: (not connection.silent, connection.used))
+    return sorted(candidates, key=lambda connection: (not connection.silent, connection.last_used_at))
--- a/tests/lab/test_uwsgi_benchmark.py
+++ b/tests/lab/test_uwsgi_benchmark.py
@@ -10,7 +10,7 @@
 from benchmarks import uwsgi
 from shelfhaven.config import Address
 from shelfhaven.frontends.connection import MESSAGE_TIMEOUT_S
-from shelfhaven.frontends.listener import WATCH_INTERVAL_S
+from shelfhaven.frontends.listener import STALL_CHECK_INTERVAL_S
 from shelfhaven.lab.callers import Reply, ask
 from tests.peers import run_async
 
@@ -19,7 +19,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def ask_slowly(listener: Address | Path, method: str, path: str) -> Reply:
-        await asyncio.sleep(MESSAGE_TIMEOUT_S + 3 * WATCH_INTERVAL_S)
+        await asyncio.sleep(MESSAGE_TIMEOUT_S + 3 * STALL_CHECK_INTERVAL_S)
         return await ask(listener, method, path)
 
     async def check() -> None:
--- a/tests/server/test_descriptors.py
+++ b/tests/server/test_descriptors.py
@@ -63,7 +63,7 @@
 
     name: str
     silent: bool
-    used: float
+    last_used_at: float
 
 
 def _eviction_order_of(*connections: IdleConnection) -> list[str]:
--- a/tests/server/test_races.py
+++ b/tests/server/test_races.py
@@ -225,7 +225,7 @@
             assert listen
             with socket.create_connection((listen.host, listen.port)) as idle:
                 connection = await only_connection(server)
-                connection.silent, connection.used = False, connection.used - 60
+                connection.silent, connection.last_used_at = False, connection.last_used_at - 60
                 others = [await server.router() for _ in range(server.app.descriptors.max_inbound - 1)]
                 for number, other in enumerate(others):
                     other.writer.write(health_check(number + 10))
@@ -253,7 +253,7 @@
                 router.writer.write(health_check(number + 1))
                 await router.answer(number + 1)
             for connection in server.app.listener.connections:
-                connection.used -= 60  # idle for far longer than the silent connections
+                connection.last_used_at -= 60  # idle for far longer than the silent connections
             partial_message = health_check(99)[:-5]
             silent = [await server.router() for _ in range(max_inbound - len(established))]
             for router in silent:
@@ -283,7 +283,7 @@
                 router.writer.write(health_check(number + 1))
                 await router.answer(number + 1)
             for connection in server.app.listener.connections:
-                connection.used -= 60
+                connection.last_used_at -= 60
             newcomer = await server.router()
             newcomer.writer.write(health_check(9))
             assert "result" in await newcomer.answer(9)
@@ -344,7 +344,7 @@
             idle = await server.router()
             idle.writer.write(health_check(1))
             await idle.answer(1)
-            (await only_connection(server)).used -= 60
+            (await only_connection(server)).last_used_at -= 60
             listener = server.app.listener
             listener._stop_accepting()
             waiting = await server.router()
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -525,7 +525,7 @@
             await checks.answer(1)
             await until(lambda: server.agent.launched)
             for connection in server.app.listener.connections:
-                connection.used -= 60
+                connection.last_used_at -= 60
             server.app.listener._announce_to_idle(asyncio.get_running_loop().time() - 30)
             await until(idle.received_shutdown)
             assert not idle.ended
--- a/tests/server/test_unknown_clients.py
+++ b/tests/server/test_unknown_clients.py
@@ -17,7 +17,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Connection, "message_timeout", 0.2)
-    monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
+    monkeypatch.setattr(listener, "STALL_CHECK_INTERVAL_S", 0.02)
 
     async def check() -> None:
         async with running_server() as server:
@@ -34,7 +34,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Connection, "message_timeout", 0.2)
-    monkeypatch.setattr(listener, "WATCH_INTERVAL_S", 0.02)
+    monkeypatch.setattr(listener, "STALL_CHECK_INTERVAL_S", 0.02)
 
     async def check() -> None:
         async with running_server() as server:
