--- a/shelfhaven/__init__.py
+++ b/shelfhaven/__init__.py
@@ -1,3 +1,3 @@
-"""shelfhaven: overload control inside each server of a fleet."""
+"""Overload control that runs inside each server of a fleet."""
 
 __version__ = "0.7.0"
--- a/shelfhaven/__main__.py
+++ b/shelfhaven/__main__.py
@@ -1,9 +1,9 @@
-"""The command line: reads arguments, runs a command, prints its result and sets the exit code.
+"""The command line: parses arguments, runs a command, prints its result and sets the exit code.
 
-It holds no logic of the server or of the configuration. What only some commands need is imported inside them:
-`serve` is to start quickly, and the libraries of some commands are optional.
+It contains no logic of the server or of the configuration. Modules that only some commands need are imported
+inside these commands, so that `serve` starts quickly and because some libraries are optional.
 
-The docstrings of commands are the help that users read.
+The docstrings of commands are their help texts.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
     "path",
     envvar="GW_CONFIG",
     type=click.Path(path_type=Path),
-    help="The platform's JSON file; by default what GW_CONFIG names. Not needed with --operator.",
+    help="Platform configuration file (JSON); default: the value of GW_CONFIG. Optional with --operator.",
 )
 operator_option = click.option(
     "--operator",
     "operator_path",
     type=click.Path(path_type=Path),
-    help="The operator's KDL file: listeners, mappings, pools; away from the platform all that is needed.",
+    help="Operator configuration file (KDL). Outside the platform no other file is needed.",
 )
 operator_file_option = click.option(
     "--operator",
     "operator_path",
     type=click.Path(path_type=Path),
     required=True,
-    help="The operator's file of a node.",
+    help="Operator configuration file of a node.",
 )
 confirm_option = click.option(
-    "--yes", "confirmed", is_flag=True, help="Do it; else only what would happen is printed."
+    "--yes", "confirmed", is_flag=True, help="Apply the change; without this option it is only described."
 )
 
 
 def _zone_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Options of a command that changes a zone: the operator's file, the zone, and the confirmation."""
+    """Add the parameters of a command that changes a zone: the operator file, the zone and --yes."""
     return operator_file_option(click.argument("zone")(confirm_option(command)))
 
 
-def _load(path: Path | None, operator_path: Path | None) -> component.Files:
-    """The checked configuration; an invalid one ends the program with a message that names the key."""
+def _load_or_exit(path: Path | None, operator_path: Path | None) -> component.Files:
+    """Return the validated configuration; if it is invalid, print the key and exit."""
     try:
         return component.load(path, operator_path)
     except config.ConfigError as error:
@@ -68,14 +68,14 @@
         sys.exit(EXIT_BAD_CONFIG)
 
 
-def _reject_operator_file(operator_path: Path, message: str) -> NoReturn:
-    """End the program: the operator's file lacks what the command needs."""
+def _exit_bad_operator_file(operator_path: Path, message: str) -> NoReturn:
+    """Exit with an error: the operator configuration lacks what the command needs."""
     click.echo(f"shelfhaven: {operator_path}: {message}", err=True)
     sys.exit(EXIT_BAD_CONFIG)
 
 
-def _finish(lines: Sequence[str], exit_code: int) -> NoReturn:
-    """Print a command's result, a failure on the standard error, and end the program."""
+def _print_and_exit(lines: Sequence[str], exit_code: int) -> NoReturn:
+    """Print the result of a command, to standard error if it failed, and exit."""
     click.echo("\n".join(lines), err=exit_code != 0)
     sys.exit(exit_code)
 
@@ -86,10 +86,10 @@
 
 
 async def run_application(application: app.App) -> None:
-    """Run an app server until it has stopped.
+    """Run a server until it has stopped, then block SIGTERM and SIGINT.
 
-    The end of the event loop restores the signals' default handlers: a second SIGTERM that came then would
-    kill a process that has shut down gracefully. So both signals are blocked before.
+    Closing the event loop restores the default signal handlers. A second SIGTERM would then kill a process
+    that has shut down gracefully.
     """
     await application.run()
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGTERM, signal.SIGINT})
@@ -99,10 +99,10 @@
 @config_option
 @operator_option
 def serve(path: Path | None, operator_path: Path | None) -> None:
-    """Run one real app server until SIGTERM."""
-    # a reload that is asked for during the start waits until there is a handler
+    """Run a server until SIGTERM."""
+    # keep a SIGHUP during startup pending until its handler is installed; unhandled, it ends the process
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    files = _load(path, operator_path)
+    files = _load_or_exit(path, operator_path)
     log = Log(files.config.name)
     logging.getLogger().handlers = [LibraryLogHandler(log)]
     try:
@@ -115,31 +115,35 @@
 @main.command("check-config")
 @config_option
 @operator_option
-@click.option("--explain", is_flag=True, help="Print every value in force and where it comes from.")
+@click.option("--explain", is_flag=True, help="Print every value in force and its origin.")
 def check_config(path: Path | None, operator_path: Path | None, explain: bool) -> None:
-    """Read and check a configuration without serving."""
-    files = _load(path, operator_path)
-    loaded, operator = files.config, files.operator
-    listens = [str(loaded.listen)] if loaded.listen else []
-    listens += [f"{listen.address} ({listen.protocol})" for listen in (operator.listens if operator else ())]
-    names = ", ".join(loaded.classes)
-    click.echo(f"{operator_path or path}: fine; {loaded.name} on {', '.join(listens)}, classes {names}")
+    """Validate a configuration without starting a server."""
+    files = _load_or_exit(path, operator_path)
+    node_config, operator = files.config, files.operator
+    listeners = [str(node_config.listen)] if node_config.listen else []
+    listeners += [
+        f"{listen.address} ({listen.protocol})" for listen in (operator.listens if operator else ())
+    ]
+    class_names = ", ".join(node_config.classes)
+    click.echo(
+        f"{operator_path or path}: fine; {node_config.name} on {', '.join(listeners)}, classes {class_names}"
+    )
     if explain and operator:
         for origin in operator.origins:
             click.echo(f"{origin.path} = {origin.value}  ({origin.origin})")
     elif explain:
-        click.echo("without an operator's file all values are the platform's, and README's defaults")
+        click.echo("no operator configuration: values are the platform's or the defaults described in README")
 
 
 @main.command()
 @click.option("--seconds", type=click.FloatRange(2, 600), default=12.0, show_default=True)
 @click.option("--load", type=click.FloatRange(0.1, 10), default=2.0, show_default=True,
-              help="Offered load over what the servers can do.")  # fmt: skip
+              help="Offered load as a multiple of the capacity.")  # fmt: skip
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--duties", "of_singleton_tasks", is_flag=True,
-              help="Show a duty instead: its holder stands still, is replaced and refused.")  # fmt: skip
+              help="Show a duty instead, whose holder is suspended, replaced and resumed.")  # fmt: skip
 def demo(seconds: float, load: float, seed: int, of_singleton_tasks: bool) -> None:
-    """Serve stand-in vendors on this machine for some seconds, with one server dying, and print a table."""
+    """Run a node with stub backends on this machine, one of which fails, and print a table of the results."""
     if of_singleton_tasks:
         from shelfhaven.lab.election_demo import main as run_election_demo
 
@@ -155,45 +159,45 @@
     "operator_path",
     type=click.Path(path_type=Path),
     required=True,
-    help="The operator's file of a node: its secret, and where it is asked.",
+    help="Operator configuration file of a node, which has its secret and address.",
 )
-@click.option("--at", default="", help="Another node's address for peers, in place of the file's.")
+@click.option("--at", default="", help="Peer address of another node to query instead.")
 def nodes(operator_path: Path, at: str) -> None:
-    """Print the list of nodes and servers that a running node has."""
+    """Print the endpoint list of a running node: its nodes and servers."""
     from shelfhaven.membership import administration
 
-    operator = _load(None, operator_path).operator
+    operator = _load_or_exit(None, operator_path).operator
     if operator is None or operator.membership is None:
-        _reject_operator_file(operator_path, "there is no membership")
+        _exit_bad_operator_file(operator_path, "there is no membership")
     output = asyncio.run(administration.describe_list(operator.membership, at))
-    _finish(output.lines, output.exit_code)
+    _print_and_exit(output.lines, output.exit_code)
 
 
 @main.group("duties")
 def singleton_tasks() -> None:
-    """Look at duties that one node holds at a time, and move them."""
+    """Show and move duties, each of which one node holds at a time."""
 
 
 def _run_singleton_tasks_command(
     operator_path: Path, name: str, command: str, node: str = "", confirmed: bool = False
 ) -> NoReturn:
-    """Run a command on one singleton task, or on all without a name."""
+    """Run a command on the singleton task `name`, or on all tasks if it is empty."""
     from shelfhaven.program.singleton_tasks_command import run_command
 
-    files = _load(None, operator_path)
+    files = _load_or_exit(None, operator_path)
     if files.operator is None or files.operator.singleton_tasks is None:
-        _reject_operator_file(operator_path, "there are no duties")
-    known = files.operator.singleton_tasks.tasks
-    if name and name not in known:
-        _reject_operator_file(operator_path, f"no duty {name}; there are: {', '.join(known)}")
+        _exit_bad_operator_file(operator_path, "there are no duties")
+    tasks = files.operator.singleton_tasks.tasks
+    if name and name not in tasks:
+        _exit_bad_operator_file(operator_path, f"no duty {name}; there are: {', '.join(tasks)}")
     output = asyncio.run(run_command(files, name, command, node, confirmed))
-    _finish(output.lines, output.exit_code)
+    _print_and_exit(output.lines, output.exit_code)
 
 
 @singleton_tasks.command("list")
 @operator_file_option
 def list_singleton_tasks(operator_path: Path) -> None:
-    """Print who holds what."""
+    """List all duties and their holders."""
     _run_singleton_tasks_command(operator_path, "", "list")
 
 
@@ -201,7 +205,7 @@
 @operator_file_option
 @click.argument("name")
 def show_singleton_task(operator_path: Path, name: str) -> None:
-    """Print all that is known of a duty."""
+    """Print the details of a duty."""
     _run_singleton_tasks_command(operator_path, name, "show")
 
 
@@ -211,7 +215,7 @@
 @click.argument("node", default="")
 @confirm_option
 def give_singleton_task(operator_path: Path, name: str, node: str, confirmed: bool) -> None:
-    """Give a duty to a node that stands by for it, or without one to whoever is to have it."""
+    """Give a duty to a candidate node, by default to the first candidate."""
     _run_singleton_tasks_command(operator_path, name, "give", node, confirmed)
 
 
@@ -220,131 +224,131 @@
 @click.argument("name")
 @confirm_option
 def disable_singleton_task(operator_path: Path, name: str, confirmed: bool) -> None:
-    """Take a duty from its holder; nobody does it until it is given again."""
+    """Take a duty from its holder; no node holds it until it is given again."""
     _run_singleton_tasks_command(operator_path, name, "take-away", "", confirmed)
 
 
 @main.group()
 def zones() -> None:
-    """Look at where zones' traffic goes, and move it by hand."""
+    """Show where the traffic of zones goes, and divert it manually."""
 
 
 def _run_zones_command(
     operator_path: Path, action: str, zone: str = "", diverted_fraction: float = 0.0, confirmed: bool = False
 ) -> NoReturn:
-    """Show all zones, or change what is decided for one."""
-    files = _load(None, operator_path)
+    """Show all zones, or change the traffic policy of one."""
+    files = _load_or_exit(None, operator_path)
     if files.operator is None or files.operator.zones is None:
-        _reject_operator_file(operator_path, "there are no zones")
+        _exit_bad_operator_file(operator_path, "there are no zones")
     from shelfhaven.failover.administration import ZoneAction, ZoneCommand
     from shelfhaven.program.failover_command import run_command
 
     command = ZoneCommand(ZoneAction(action), zone, diverted_fraction, confirmed)
     result = asyncio.run(run_command(files, command))
-    _finish(result.lines, result.exit_code)
+    _print_and_exit(result.lines, result.exit_code)
 
 
 @zones.command("show")
 @operator_file_option
 def zones_show(operator_path: Path) -> None:
-    """Print what was decided for each zone and why, and what a running node sees of them."""
+    """Print the traffic policy of each zone, the reason for it, and how a running node sees the zones."""
     _run_zones_command(operator_path, "show")
 
 
 @zones.command("drain")
 @_zone_options
 def zones_drain(operator_path: Path, zone: str, confirmed: bool) -> None:
-    """Send all of a zone's traffic elsewhere until it is restored."""
+    """Divert all traffic of a zone until it is restored."""
     _run_zones_command(operator_path, "drain", zone, 1.0, confirmed)
 
 
 @zones.command("pin")
 @_zone_options
 @click.option("--away", "diverted_fraction", type=click.FloatRange(0, 1), default=0.0, show_default=True,
-              help="The part of its traffic that goes elsewhere.")  # fmt: skip
+              help="Fraction of the zone's traffic to divert.")  # fmt: skip
 def zones_pin(operator_path: Path, zone: str, diverted_fraction: float, confirmed: bool) -> None:
-    """Hold a zone at a part, whatever the decider finds: 0 is a veto against moving it."""
+    """Fix the diverted fraction of a zone; with 0 the failover controller diverts none of its traffic."""
     _run_zones_command(operator_path, "pin", zone, diverted_fraction, confirmed)
 
 
 @zones.command("restore")
 @_zone_options
 def zones_restore(operator_path: Path, zone: str, confirmed: bool) -> None:
-    """Leave a zone to the decider again; what is away comes back by steps."""
+    """Return a zone to the failover controller; diverted traffic comes back in steps."""
     _run_zones_command(operator_path, "restore", zone, 0.0, confirmed)
 
 
 @zones.command("forget")
 @_zone_options
 def zones_forget(operator_path: Path, zone: str, confirmed: bool) -> None:
-    """Count a zone no more that has no nodes and will have none."""
+    """Remove a decommissioned zone, which has no nodes and will have none."""
     _run_zones_command(operator_path, "forget", zone, 0.0, confirmed)
 
 
 @main.group()
 def state() -> None:
-    """Look after the file in which keyed runs are written down."""
+    """Inspect and maintain the file of the durable key store."""
 
 
 def _state_settings(operator_path: Path) -> StateSettings:
-    """The settings of the key file; where the operator's file has none the program ends."""
-    operator = _load(None, operator_path).operator
+    """Return the settings of the key store; exit if the operator configuration has none."""
+    operator = _load_or_exit(None, operator_path).operator
     if operator is None or operator.state is None:
-        _reject_operator_file(operator_path, "there is no node keys")
+        _exit_bad_operator_file(operator_path, 'there is no "keys" node')
     return operator.state
 
 
 @state.command("check")
 @operator_file_option
 def state_check(operator_path: Path) -> None:
-    """Read the whole file and say what in it is not what was written; changes nothing."""
+    """Read the whole file and report damaged records, without changing it."""
     settings = _state_settings(operator_path)
     from shelfhaven.state import administration
 
-    _finish(*administration.run(lambda: administration.check(settings)))
+    _print_and_exit(*administration.run(lambda: administration.check(settings)))
 
 
 @state.command("show")
 @operator_file_option
-@click.option("--most", "limit", default=20, show_default=True, help="Keys that are printed.")
+@click.option("--most", "limit", default=20, show_default=True, help="Maximum number of keys to print.")
 def state_show(operator_path: Path, limit: int) -> None:
-    """Print what is known of keys whose window is not over; changes nothing."""
+    """Print the keys that have not expired, without changing the file."""
     settings = _state_settings(operator_path)
     from shelfhaven.state import administration
 
-    _finish(*administration.run(lambda: administration.show(settings, limit)))
+    _print_and_exit(*administration.run(lambda: administration.show(settings, limit)))
 
 
 @state.command("snapshot")
 @operator_file_option
 @click.argument("to", type=click.Path(dir_okay=False, path_type=Path))
 def state_snapshot(operator_path: Path, to: Path) -> None:
-    """Copy the file as it stands at one moment, beside a running node."""
+    """Write a consistent copy of the file; the node may be running."""
     settings = _state_settings(operator_path)
     from shelfhaven.state import administration
 
-    _finish(*administration.run(lambda: administration.snapshot(settings, to)))
+    _print_and_exit(*administration.run(lambda: administration.snapshot(settings, to)))
 
 
 @state.command("restore")
 @operator_file_option
 @click.argument("source", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def state_restore(operator_path: Path, source: Path) -> None:
-    """Put a snapshot in the file's place; the node has to be stopped."""
+    """Replace the file with a snapshot; the node must be stopped."""
     settings = _state_settings(operator_path)
     from shelfhaven.state import administration
 
-    _finish(*administration.run(lambda: administration.restore(settings, source)))
+    _print_and_exit(*administration.run(lambda: administration.restore(settings, source)))
 
 
 @state.command("compact")
 @operator_file_option
 def state_compact(operator_path: Path) -> None:
-    """Give room back to the file system; the node has to be stopped."""
+    """Delete expired keys and shrink the file; the node must be stopped."""
     settings = _state_settings(operator_path)
     from shelfhaven.state import administration
 
-    _finish(*administration.run(lambda: administration.compact(settings)))
+    _print_and_exit(*administration.run(lambda: administration.compact(settings)))
 
 
 @main.command()
--- a/tests/operator_config/test_command_line.py
+++ b/tests/operator_config/test_command_line.py
@@ -1,4 +1,4 @@
-"""Commands that need more than the operator's file has, and their exit codes."""
+"""Exit codes and messages of commands whose operator configuration is invalid or lacks what they need."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
         (["duties", "give", "x", "n2", "--yes"], "there are no duties"),
         (["zones", "show"], "there are no zones"),
         (["zones", "pin", "z", "--away", "0.5", "--yes"], "there are no zones"),
-        (["state", "check"], "there is no node keys"),
-        (["state", "show", "--most", "3"], "there is no node keys"),
-        (["state", "snapshot", "/no/such/folder/copy"], "there is no node keys"),
-        (["state", "compact"], "there is no node keys"),
+        (["state", "check"], 'there is no "keys" node'),
+        (["state", "show", "--most", "3"], 'there is no "keys" node'),
+        (["state", "snapshot", "/no/such/folder/copy"], 'there is no "keys" node'),
+        (["state", "compact"], 'there is no "keys" node'),
     ],
 )
-def test_a_file_without_what_a_command_needs_ends_it(
+def test_a_command_fails_if_the_file_lacks_the_nodes_that_it_needs(
     arguments: list[str], message: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "operator.kdl"
@@ -36,7 +36,7 @@
     assert result.output == f"shelfhaven: {file}: {message}\n"
 
 
-def test_an_invalid_file_ends_any_command(tmp_path: Path) -> None:
+def test_a_command_fails_if_the_file_is_invalid(tmp_path: Path) -> None:
     file = tmp_path / "operator.kdl"
     file.write_text(VALID_FILE.replace("at-once=4", ""))
     result = CliRunner().invoke(main, ["state", "check", "--operator", str(file)])
@@ -44,7 +44,7 @@
     assert result.output == f"shelfhaven: configuration: {file}: work at-once: missing\n"
 
 
-def test_state_commands_look_at_the_key_file_that_the_operators_file_names(tmp_path: Path) -> None:
+def test_state_commands_read_the_configured_key_file(tmp_path: Path) -> None:
     file = tmp_path / "operator.kdl"
     file.write_text(VALID_FILE + f'keys file="{tmp_path}/keys.db"\n')
     result = CliRunner().invoke(main, ["state", "show", "--operator", str(file)])
