--- a/shelfhaven/program/__init__.py
+++ b/shelfhaven/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program as a whole: its parts wired together, and its phases from start to exit."""
+"""The server process: its components, how they depend on each other, and its phases from start to exit."""
--- a/shelfhaven/program/app.py
+++ b/shelfhaven/program/app.py
@@ -1,7 +1,7 @@
-"""The phases of the server process, from start to exit, as named states of one object.
+"""The server process: its phases from start to exit, its signal handlers and the reload of its configuration.
 
-Owns the components, the order in which they start and stop, and the signals.  It takes no part in serving,
-and never ends while an answer can still be outstanding.
+`App` owns the components and calls their life-cycle methods in order. It takes no part in handling requests.
+A shutdown answers all requests that were received, as far as the stop time of the configuration allows.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 from shelfhaven import config
 from shelfhaven.frontends.listener import Listener, ListenerGroup
 from shelfhaven.program.component import Files, StatusFields, load
-from shelfhaven.program.composition import Foundation, compose
+from shelfhaven.program.composition import Dependencies, compose
 from shelfhaven.program.frontends import Listeners, Proxies
-from shelfhaven.program.peers import PEERS, Peers
+from shelfhaven.program.peers import RELOADABLE_KEYS, Peers
 from shelfhaven.server import messages
 from shelfhaven.server.core import Core
 from shelfhaven.server.descriptors import Descriptors
 from shelfhaven.server.log import Log
 
-if TYPE_CHECKING:  # imported only where an operator's file is given
+if TYPE_CHECKING:  # at run time imported only if there is an operator configuration
     from shelfhaven.backends.uwsgi_runner import UwsgiRunner
     from shelfhaven.frontends.consulting import ProxyListener
     from shelfhaven.program.membership import MembershipComponent
 
-CLOSING_FRACTION = 0.16  # of the time until the process is stopped: what is left when the listeners close
+CLOSING_FRACTION = 0.16  # length of the closing phase, as a fraction of the configured stop time
 MAX_CLOSING_S = 0.8
-ANSWERED_FRACTION = 0.4  # of that time is left when all is answered, so that answers are sent
-QUIET_PERIOD_S = 0.1  # without an open request, after which none is in flight that was sent before the close
-STATUS_INTERVAL_S = 1.0  # between `load` lines of the log
-CLOSE_POLL_S = 0.02  # between checks of what is still open while closing
+SENDING_FRACTION = 0.4  # last part of the closing phase, reserved for sending answers
+QUIET_PERIOD_S = 0.1  # time without an open request after which none sent before the close is still in flight
+STATUS_INTERVAL_S = 1.0  # between `load` log lines
+CLOSE_POLL_S = 0.02  # between checks for open requests and connections in the closing phase
 
 
 class Phase(Enum):
-    """Phases of the process."""
+    """Phase of the server process."""
 
     STARTING = "starting"
     SERVING = "serving"
@@ -51,7 +51,7 @@
     ENDED = "ended"
 
 
-NEXT = {
+NEXT = {  # the phases that may follow each phase
     Phase.STARTING: {Phase.SERVING},
     Phase.SERVING: {Phase.DRAINING},
     Phase.DRAINING: {Phase.CLOSING},
@@ -63,8 +63,8 @@
 class App:
     """One server process.
 
-    `path` is the platform's configuration file, None away from the platform; `operator_path` the operator's
-    file, None without one. Both are read again at SIGHUP.
+    `path` is the platform configuration file and `operator_path` the operator configuration file; None for
+    one that is not used. SIGHUP reloads both.
     """
 
     def __init__(
@@ -79,56 +79,59 @@
         self.descriptors = Descriptors(files.config.limits.sockets)
         self.peers = Peers(files.config, self.core, self.descriptors, log)
         self.frontends = Listeners(files.config, self.core, self.descriptors, log)
-        foundation = Foundation(self.core, self.descriptors, self.peers, self.frontends, log)
-        self.composition = compose(foundation, files.operator)
-        self.components = self.composition.ordered
+        dependencies = Dependencies(self.core, self.descriptors, self.peers, self.frontends, log)
+        self.composition = compose(dependencies, files.operator)
+        self.components = self.composition.components
         listeners = ListenerGroup(self.listeners)
         self.core.actors.connect(self._runners(), self.peers.ledger, self.peers.members, listeners)
         self.drain_requested = asyncio.Event()
-        self.stop_at = 0.0  # on the monotonic clock, once a drain was requested
-        self.closing_time = 0.0  # seconds before `stop_at` at which the listeners close
+        self.stop_at = 0.0  # deadline of the shutdown on the monotonic clock, 0 until a drain is requested
+        self.closing_duration = 0.0  # seconds: the listeners close this long before `stop_at`
         self.status_timer: asyncio.TimerHandle | None = None
 
     @property
     def config(self) -> config.Config:
-        """The configuration in force."""
+        """The node configuration in force."""
         return self.files.config
 
     @property
     def proxies(self) -> Proxies | None:
-        """The listeners for proxies as one component, None without any."""
+        """The component that holds the proxy listeners, None if there are none."""
         return self.composition.proxies
 
     @property
     def processors(self) -> list[ProxyListener]:
-        """All listeners for proxies."""
+        """All proxy listeners."""
         return self.proxies.processors if self.proxies else []
 
     @property
     def pools(self) -> UwsgiRunner | None:
-        """The pools of uwsgi servers, None without any."""
+        """The runner of the uwsgi pools, None if there are none."""
         return self.composition.pools.runner if self.composition.pools else None
 
     @property
     def membership(self) -> MembershipComponent | None:
-        """The membership of a fleet, None without one."""
+        """The membership component, None if the node belongs to no fleet."""
         return self.composition.membership
 
     @property
     def listeners(self) -> list[Listener]:
-        """All listening sockets but those for proxies."""
+        """All listeners for routers and gateways."""
         return self.frontends.listeners
 
     @property
     def listener(self) -> Listener:
-        """The first listener: the routers' on the platform."""
+        """The first listener; on the platform, the one for routers."""
         return self.listeners[0]
 
     def _runners(self) -> list[messages.Runner]:
-        """Return the runner of each class: the pool that the operator's file gives it, else the agent."""
+        """Return the runner of each class: the pools for a class that is assigned to a pool, else the agent.
+
+        Without an agent the pools run all classes.
+        """
         pools = self.pools
-        rest: messages.Runner = self.peers.agent if self.config.agent or not pools else pools
-        return [pools if pools and cls in pools.by_class else rest for cls in self.config.classes]
+        default_runner: messages.Runner = self.peers.agent if self.config.agent or not pools else pools
+        return [pools if pools and cls in pools.by_class else default_runner for cls in self.config.classes]
 
     def _enter(self, phase: Phase) -> None:
         if phase not in NEXT[self.phase]:
@@ -142,10 +145,10 @@
         self._handle_signals(loop)
         for key in self.config.unsupported:
             self.log.event("unsupported", key=f"settings.{key}")
-        loop.set_exception_handler(self._unhandled)
+        loop.set_exception_handler(self._log_unhandled)
         for component in self.components:
             await component.start()
-        gc.freeze()  # what the start made stays; collections need not walk it
+        gc.freeze()  # startup objects live until the exit: exclude them from garbage collections
         self._enter(Phase.SERVING)
         self._log_status(loop.time())
         await self.drain_requested.wait()
@@ -155,37 +158,39 @@
             self.status_timer.cancel()
         for component in self.components:
             await component.stop()
-        signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})  # the loop's end gives its handler back
+        # closing the event loop restores the default handler of SIGHUP, which would kill the process
+        signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         self._enter(Phase.ENDED)
 
     def _handle_signals(self, loop: asyncio.AbstractEventLoop) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.request_drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.request_drain)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        # whoever started this process may have left them blocked: a drain would never begin
+        # the parent process may have blocked these signals, and a drain would never begin
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
-    def _log_status(self, due: float) -> None:
-        """Log the status of all components, and how late the event loop is."""
+    def _log_status(self, due_at: float) -> None:
+        """Log the status of all components and the delay of the event loop; repeated at an interval."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         status: StatusFields = {}
         for component in self.components:
             status |= component.status()
-        late_ms = round((now - due) * 1000, 1)
+        late_ms = round((now - due_at) * 1000, 1)
         self.log.event("load", late_ms=late_ms, **status, **self.core.load_now())
         self.status_timer = loop.call_at(now + STATUS_INTERVAL_S, self._log_status, now + STATUS_INTERVAL_S)
 
-    def _unhandled(self, _: asyncio.AbstractEventLoop, context: Mapping[str, object]) -> None:
-        """Log what no actor caught; the loop goes on."""
+    def _log_unhandled(self, _: asyncio.AbstractEventLoop, context: Mapping[str, object]) -> None:
+        """Log an exception that no actor caught; the event loop continues."""
         error = context.get("exception")
         trace = "".join(traceback.format_exception(error)) if isinstance(error, BaseException) else ""
         self.log.event("unhandled", message=context.get("message"), error=trace)
 
     def reload(self) -> None:
-        """Take the peers' new addresses from the file; a faulty one leaves everything as it is.
+        """Read the configuration files again and apply what can change at run time.
 
-        Names, limits and settings belong to the process: they change with its next start.
+        Of the platform configuration these are the addresses of the peers; its other values take effect at
+        the next start. An invalid file is logged and changes nothing.
         """
         if self.path is None and self.operator_path is None:
             return
@@ -195,38 +200,40 @@
             self.log.event("reload_refused", error=str(error))
             return
         old = self.files
-        moved = [key for key in PEERS if getattr(new.config, key) != getattr(old.config, key)]
-        unchanged = _fixed_keys(old, new)
+        changed_addresses = [
+            key for key in RELOADABLE_KEYS if getattr(new.config, key) != getattr(old.config, key)
+        ]
+        pending_restart = _changes_pending_restart(old, new)
         for component in self.components:
-            unchanged += component.reload(old, new)
-        in_force = replace(old.config, **{key: getattr(new.config, key) for key in PEERS})
-        self.files = Files(in_force, new.operator)
-        self.log.event("reloaded", moved=moved, kept_until_restart=unchanged)
+            pending_restart += component.reload(old, new)
+        config_in_force = replace(old.config, **{key: getattr(new.config, key) for key in RELOADABLE_KEYS})
+        self.files = Files(config_in_force, new.operator)
+        self.log.event("reloaded", moved=changed_addresses, kept_until_restart=pending_restart)
 
     def request_drain(self) -> None:
-        """Begin the graceful shutdown; a second request changes nothing."""
+        """Begin the graceful shutdown; has no effect if it has begun already."""
         if self.drain_requested.is_set():
             return
-        stop = self.config.stop
-        self.stop_at = time.monotonic() + stop
-        self.closing_time = min(MAX_CLOSING_S, CLOSING_FRACTION * stop)
-        self.core.put(messages.BeginDrain(stop - ANSWERED_FRACTION * self.closing_time))
+        stop_time = self.config.stop
+        self.stop_at = time.monotonic() + stop_time
+        self.closing_duration = min(MAX_CLOSING_S, CLOSING_FRACTION * stop_time)
+        self.core.put(messages.BeginDrain(stop_time - SENDING_FRACTION * self.closing_duration))
         self.drain_requested.set()
 
     async def _drain(self) -> None:
-        """Go on answering, on new connections too, until shortly before the process is stopped."""
+        """Keep answering requests, also on new connections, until the closing phase begins."""
         self._enter(Phase.DRAINING)
         for component in self.components:
             component.begin_drain()
-        await asyncio.sleep(max(0.0, self.stop_at - self.closing_time - time.monotonic()))
+        await asyncio.sleep(max(0.0, self.stop_at - self.closing_duration - time.monotonic()))
 
     async def _close(self) -> None:
-        """Close the listeners, answer requests that were sent before, and end the remaining connections."""
+        """Close the listeners, answer the requests that were sent before, and close the connections."""
         self._enter(Phase.CLOSING)
         for component in self.components:
             component.stop_listening(max(0.0, self.stop_at - 2 * CLOSE_POLL_S - time.monotonic()))
         quiet_since = time.monotonic()
-        while self._connected() and (now := time.monotonic()) < self.stop_at - CLOSE_POLL_S:
+        while self._has_connections() and (now := time.monotonic()) < self.stop_at - CLOSE_POLL_S:
             if any(component.open_requests() for component in self.components):
                 quiet_since = now
             elif now - quiet_since > QUIET_PERIOD_S:
@@ -235,15 +242,15 @@
         for component in self.components:
             await component.disconnect(max(0.0, self.stop_at - CLOSE_POLL_S - time.monotonic()))
 
-    def _connected(self) -> bool:
+    def _has_connections(self) -> bool:
         return any(component.has_connections() for component in self.components)
 
 
-def _fixed_keys(old: Files, new: Files) -> list[str]:
-    """Return what differs and takes effect only at a restart, by the names that the log uses."""
-    names = [field.name for field in fields(new.config)]
-    fixed = [name for name in names if name not in (*PEERS, "seed")]
-    changed = [key for key in fixed if getattr(new.config, key) != getattr(old.config, key)]
+def _changes_pending_restart(old: Files, new: Files) -> list[str]:
+    """Return the keys, as named in the files and the log, whose changes take effect only at a restart."""
+    config_keys = [field.name for field in fields(new.config)]
+    fixed_keys = [key for key in config_keys if key not in (*RELOADABLE_KEYS, "seed")]
+    changed = [key for key in fixed_keys if getattr(new.config, key) != getattr(old.config, key)]
     if new.operator is None:
         return changed
     if old.operator and new.operator.listens != old.operator.listens:
--- a/shelfhaven/program/component.py
+++ b/shelfhaven/program/component.py
@@ -1,6 +1,7 @@
-"""The life cycle of a component: started, reloaded, drained and stopped, in that order.
+"""The interface of components, and the configuration that they are built from.
 
-Owns the names of these steps alone; `app.py` calls each step of all components in their order.
+A component is started, reloaded at any time, drained and stopped; `app.py` calls each of these methods on all
+components in order.
 """
 
 from __future__ import annotations
@@ -17,36 +18,39 @@
     from shelfhaven.operator_config import Operator
 
 
-Figures: TypeAlias = Mapping[str, object]  # of one subsystem, by the names that the log uses
+StatusValues: TypeAlias = Mapping[str, object]  # status of a subsystem, by log field
 
 
 class StatusFields(TypedDict, total=False):
-    """Fields of the log line `load`, each contributed by one component."""
+    """Fields of the `load` log line, each contributed by one component."""
 
     connections: int
-    proxies: Sequence[Figures]
+    proxies: Sequence[StatusValues]
     calls: int
-    pools: Figures
-    membership: Figures
-    keys_file: Figures
-    zones: Figures
-    claims: Figures
-    duties: Figures
+    pools: StatusValues
+    membership: StatusValues
+    keys_file: StatusValues
+    zones: StatusValues
+    claims: StatusValues
+    duties: StatusValues
 
 
 @dataclass(frozen=True)
 class Files:
-    """The configuration of a node: the platform's file and the operator's, read and checked together."""
+    """The validated configuration of a node.
+
+    `config` holds the values in force, from both files. `operator` is None without an operator configuration.
+    """
 
     config: Config
     operator: Operator | None = None
 
 
 def load(path: Path | None, operator_path: Path | None) -> Files:
-    """Read and check all files of a node.
+    """Read and validate the configuration files of a node.
 
     Raises:
-        ConfigError: one of them is faulty, or there is none.
+        ConfigError: a file is invalid, or none is given.
     """
     platform = config.load(path) if path else None
     if operator_path:
@@ -55,40 +59,42 @@
         loaded = operator_config.load(operator_path, platform)
         return Files(loaded.config, loaded.operator)
     if platform is None:
-        raise config.ConfigError("neither a platform's configuration nor an operator's file is given")
+        raise config.ConfigError(
+            "neither a platform (--config) nor an operator configuration (--operator) is given"
+        )
     return Files(platform)
 
 
 class Component:
-    """A subsystem of the process; a step that it has no use for does nothing."""
+    """A subsystem of the server process. The default of each method does nothing."""
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start the component."""
 
     def reload(self, _old: Files, _new: Files) -> list[str]:
-        """Apply a new configuration; return the names of what takes effect only at a restart."""
+        """Apply a new configuration; return the keys whose changes take effect only at a restart."""
         return []
 
     def begin_drain(self) -> None:
-        """Announce the graceful shutdown, and go on serving."""
+        """Announce the graceful shutdown, but keep serving."""
 
     def stop_listening(self, left: float) -> None:
-        """Accept nothing new; what is open may finish within `left` seconds."""
+        """Accept no new connections; open requests may finish within `left` seconds."""
 
     def open_requests(self) -> int:
-        """Return how many requests have no answer yet."""
+        """Return the number of unanswered requests."""
         return 0
 
     def has_connections(self) -> bool:
-        """Whether any client is still connected."""
+        """Return whether a caller is still connected."""
         return False
 
     async def disconnect(self, left: float) -> None:
-        """Disconnect remaining clients within `left` seconds."""
+        """Close the remaining connections of callers within `left` seconds."""
 
     async def stop(self) -> None:
         """Release all resources."""
 
     def status(self) -> StatusFields:
-        """Return this component's fields of the log line `load`."""
+        """Return this component's fields of the `load` log line."""
         return {}
--- a/shelfhaven/program/composition.py
+++ b/shelfhaven/program/composition.py
@@ -1,7 +1,7 @@
-"""Which components the operator's file brings, built in the order in which they depend on each other.
+"""Builds the components of the server process, in the order of their dependencies.
 
-Owns the wiring alone.  Every component beyond the platform's is imported only where the file asks for it: the
-libraries behind it cost memory and start-up time.
+Components that only an operator configuration can ask for are imported only if it does, because the libraries
+that they use cost memory and start-up time.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Foundation:
-    """What every component is built on."""
+class Dependencies:
+    """Objects that all components share."""
 
     core: Core
     descriptors: Descriptors
@@ -37,107 +37,116 @@
 
 @dataclass(slots=True)
 class Composition:
-    """The components of one program; `ordered` is the order in which they start, drain and stop."""
+    """The components of a server process, in the order in which they start, drain and stop."""
 
-    ordered: list[Component] = field(default_factory=list)
+    components: list[Component] = field(default_factory=list)
     proxies: Proxies | None = None
     pools: PoolsComponent | None = None
     membership: MembershipComponent | None = None
 
 
-def compose(foundation: Foundation, operator: Operator | None) -> Composition:
-    """Build all components; without an operator's file there are only the platform's."""
-    composition = Composition([foundation.listeners, foundation.peers])
+def compose(dependencies: Dependencies, operator: Operator | None) -> Composition:
+    """Build all components; without an operator configuration, only those that the platform needs."""
+    composition = Composition([dependencies.listeners, dependencies.peers])
     if operator is None:
         return composition
-    mappings = _add_listeners(foundation, operator, composition)
-    composition.ordered.append(mappings)
+    mappings = _add_listeners(dependencies, operator, composition)
+    composition.components.append(mappings)
     if composition.proxies:
-        composition.ordered.insert(1, composition.proxies)
-    composition.pools = _pools(foundation, operator, composition.proxies)
+        composition.components.insert(1, composition.proxies)
+    composition.pools = _make_pools(dependencies, operator, composition.proxies)
     if composition.pools:
-        composition.ordered.append(composition.pools)
-    composition.membership = _membership(foundation, operator, composition.pools)
+        composition.components.append(composition.pools)
+    composition.membership = _make_membership(dependencies, operator, composition.pools)
     if composition.membership:
-        composition.ordered.append(composition.membership)
+        composition.components.append(composition.membership)
     if operator.state:
-        composition.ordered.append(_key_store(foundation, operator, composition.pools))
-    failover = _failover(foundation, operator, composition)
+        composition.components.append(_make_key_store(dependencies, operator, composition.pools))
+    failover = _make_failover(dependencies, operator, composition)
     if failover:
-        composition.ordered.append(failover)
+        composition.components.append(failover)
     if operator.singleton_tasks:
-        singleton_tasks = _singleton_tasks(foundation, operator, composition, failover)
-        composition.ordered.insert(_position_of_singleton_tasks(composition), singleton_tasks)
+        singleton_tasks = _make_singleton_tasks(dependencies, operator, composition, failover)
+        composition.components.insert(_singleton_tasks_index(composition), singleton_tasks)
     return composition
 
 
-def _add_listeners(foundation: Foundation, operator: Operator, composition: Composition) -> Mappings:
-    """Add the listeners that the file names; return their mappings."""
+def _add_listeners(dependencies: Dependencies, operator: Operator, composition: Composition) -> Mappings:
+    """Add the listeners of the operator configuration; return the mappings that they use."""
     from shelfhaven.operator_config import ListenProtocol
 
     mappings = Mappings(operator)
     for listen in operator.listens:
         if listen.protocol is ListenProtocol.JSON_RPC:
-            foundation.listeners.add_router_listener(listen.address, listen.max_connections)
+            dependencies.listeners.add_router_listener(listen.address, listen.max_connections)
         elif listen.protocol.is_for_proxies:
-            composition.proxies = composition.proxies or Proxies(foundation.core, foundation.log)
+            composition.proxies = composition.proxies or Proxies(dependencies.core, dependencies.log)
             composition.proxies.add_listener(listen, mappings.by_name[listen.mapping])
         else:
-            foundation.listeners.add_gateway_listener(listen, mappings.by_name[listen.mapping])
+            dependencies.listeners.add_gateway_listener(listen, mappings.by_name[listen.mapping])
     return mappings
 
 
-def _pools(foundation: Foundation, operator: Operator, proxies: Proxies | None) -> PoolsComponent | None:
+def _make_pools(
+    dependencies: Dependencies, operator: Operator, proxies: Proxies | None
+) -> PoolsComponent | None:
     if not operator.pools and not proxies:
         return None
     from shelfhaven.program.pools import PoolsComponent
 
-    other_runners = [proxies.runner.load] if proxies else []
-    return PoolsComponent(operator, foundation.core, foundation.descriptors, foundation.log, other_runners)
+    other_loads = [proxies.runner.load] if proxies else []
+    return PoolsComponent(
+        operator, dependencies.core, dependencies.descriptors, dependencies.log, other_loads
+    )
 
 
-def _membership(
-    foundation: Foundation, operator: Operator, pools: PoolsComponent | None
+def _make_membership(
+    dependencies: Dependencies, operator: Operator, pools: PoolsComponent | None
 ) -> MembershipComponent | None:
     if not operator.membership:
         return None
     from shelfhaven.program.membership import MembershipComponent
 
-    return MembershipComponent(operator, foundation.core, foundation.peers, pools, foundation.log)
+    return MembershipComponent(operator, dependencies.core, dependencies.peers, pools, dependencies.log)
 
 
-def _key_store(foundation: Foundation, operator: Operator, pools: PoolsComponent | None) -> Component:
+def _make_key_store(
+    dependencies: Dependencies, operator: Operator, pools: PoolsComponent | None
+) -> Component:
     from shelfhaven.program.state import StateComponent
 
-    return StateComponent(operator, foundation.core, pools, foundation.log)
+    return StateComponent(operator, dependencies.core, pools, dependencies.log)
 
 
-def _failover(
-    foundation: Foundation, operator: Operator, composition: Composition
+def _make_failover(
+    dependencies: Dependencies, operator: Operator, composition: Composition
 ) -> FailoverComponent | None:
     if not operator.zones or not composition.membership:
         return None
     from shelfhaven.program.failover import FailoverComponent
 
     return FailoverComponent(
-        operator, foundation.core, composition.membership, composition.pools, foundation.log
+        operator, dependencies.core, composition.membership, composition.pools, dependencies.log
     )
 
 
-def _singleton_tasks(
-    foundation: Foundation, operator: Operator, composition: Composition, failover: FailoverComponent | None
+def _make_singleton_tasks(
+    dependencies: Dependencies,
+    operator: Operator,
+    composition: Composition,
+    failover: FailoverComponent | None,
 ) -> SingletonTasksComponent:
     from shelfhaven.program.singleton_tasks import SingletonTasksComponent
 
     return SingletonTasksComponent(
-        operator, foundation.core, composition.membership, foundation.log, failover
+        operator, dependencies.core, composition.membership, dependencies.log, failover
     )
 
 
-def _position_of_singleton_tasks(composition: Composition) -> int:
-    """Before the membership: leaders that hand their tasks over need it for that."""
+def _singleton_tasks_index(composition: Composition) -> int:
+    """Return the index before the membership, which is needed to hand tasks over and so must stop later."""
     return (
-        composition.ordered.index(composition.membership)
+        composition.components.index(composition.membership)
         if composition.membership
-        else len(composition.ordered)
+        else len(composition.components)
     )
--- a/shelfhaven/program/failover.py
+++ b/shelfhaven/program/failover.py
@@ -1,7 +1,7 @@
 """The component for failover between zones.
 
-It measures this node for the gossip, tells the pools of the traffic policy, has the frontends report whether
-the node takes work, and claims idempotency keys over the zones where that is configured.
+It measures this node's load for the gossip, passes the traffic policy to the pools, makes the node unready
+while it must reject work, and, if configured, reserves idempotency keys across zones.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from shelfhaven.server.core import Core
 from shelfhaven.server.log import Log
 
-STORE_READERS = 5  # nodes, the first by rank, that read the store for all
+STORE_READERS = 5  # nodes, the first by rank, that read the store on behalf of all
 
 
 class FailoverComponent(Component):
-    """Gossip, the traffic policy, and what follows from it."""
+    """Takes part in the gossip, applies the traffic policy and reserves keys."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
             cls: settings.priority_weight
             for cls, settings in zip(core.config.classes, core.config.settings.classes, strict=True)
         }
-        self.regions: dict[str, str] = dict(self.config.regions)  # by zone, as the list has it too
+        self.regions: dict[str, str] = dict(self.config.regions)  # by zone; the endpoint list adds to them
         self.actor = self._make_actor()
         self.actor.on_policy_change = self._apply_policy
         self.controller: FailoverController | None = None
@@ -67,8 +67,8 @@
 
     def _make_actor(self) -> FailoverActor:
         node = self.membership.actor
-        own = node.identity
-        own_digest = LoadDigest(own.name, own.zone, own.address, incarnation=time.time_ns())
+        identity = node.identity
+        own_digest = LoadDigest(identity.name, identity.zone, identity.address, incarnation=time.time_ns())
         random = Random(self.core.config.seed ^ time.time_ns())
         gossip = Gossip(self.config.gossip, own_digest, time.monotonic(), random)
         endpoint = FailoverEndpoint(
@@ -89,20 +89,20 @@
         self.core.keys.reserved_in_fleet = True
         return client
 
-    def use_store(self, store: ConsensusStore) -> None:
-        """Set the store that keeps the policy."""
+    def set_store(self, store: ConsensusStore) -> None:
+        """Set the consensus store, which holds the traffic policy."""
         self.actor.store = store
 
     def make_controller_task(self) -> FailoverTask:
-        """Return the singleton task that runs the failover controller."""
+        """Create the singleton task that runs the failover controller."""
         assert self.actor.store
         self.controller = FailoverController(self.config.controller, self.regions)
-        own = self.actor.gossip.own_digest
-        identity = NodeIdentity(own.name, own.zone)
+        own_digest = self.actor.gossip.own_digest
+        identity = NodeIdentity(own_digest.name, own_digest.zone)
         return FailoverTask(self.actor.store, self.controller, self.actor, identity, self.log)
 
     async def start(self) -> None:
-        """Take part in the gossip."""
+        """Start the gossip and the reservation of keys."""
         self.membership.node.watchers.append(self._update_members)
         self._update_members(self.membership.node.items)
         self._apply_policy(None)
@@ -113,11 +113,11 @@
     def _update_members(self, items: Mapping[str, Endpoint]) -> None:
         nodes = nodes_of(items)
         self.actor.update_members({node.name: MemberLocation(node.zone, node.address) for node in nodes})
-        # updated in place: the controller and the pools share this object
+        # update in place: the controller and the pools share this dictionary
         self.regions.update({node.zone: node.region for node in nodes if node.region}, **self.config.regions)
         node_ranking = self.membership.actor.member.fleet.nodes
         own_key = self.membership.actor.identity.key
-        # without a list nobody knows who is to read the store: each does
+        # without an endpoint list there is no ranking, so each node reads the store
         self.actor.reads_store = not nodes or node_ranking.is_among_first(own_key, STORE_READERS)
 
     def _apply_policy(self, policy: TrafficPolicy | None) -> None:
@@ -126,7 +126,7 @@
             self.pools.runner.prefer_zone(zone, self.config.locality, self.regions, policy)
 
     def _measure(self, digest: LoadDigest) -> LoadDigest:
-        """This node's next digest."""
+        """Return this node's digest with its current load."""
         return self.load_meter.measure(digest, self._counters())
 
     def _counters(self) -> NodeCounters:
@@ -143,7 +143,8 @@
         if self.pools is None:
             return counters
         runner = self.pools.runner
-        local_capacity = runner.local_capacity()  # backends in other zones are those zones' capacity
+        # backends in other zones count toward the capacity of those zones
+        local_capacity = runner.local_capacity()
         load = runner.load_by_class()
         return replace(
             counters,
@@ -156,13 +157,14 @@
         )
 
     def reload(self, _old: Files, new: Files) -> list[str]:
-        """Go on with the settings of other files; names what cannot change while the node runs."""
+        """Apply the changed settings of zones; the reservation of keys changes only at a restart."""
         config = new.operator.zones if new.operator else None
         if config is None:
             return ["zones"]
-        unchanged = []
+        pending_restart = []
         if config.reservations != self.config.reservations:
-            unchanged = ["zones keys"]  # a replica that changes its mind while it runs has promised too much
+            # a replica that changed its reservation settings while it runs could break its earlier votes
+            pending_restart = ["zones keys"]
             config = replace(config, reservations=self.config.reservations)
         self.config = config
         self.actor.gossip.reconfigure(config.gossip)
@@ -171,26 +173,26 @@
         self.regions.clear()
         self._update_members(self.membership.node.items)
         self._apply_policy(self.actor.policy_in_force)
-        return unchanged
+        return pending_restart
 
     def stop_listening(self, left: float) -> None:
-        """Begin the graceful shutdown."""
+        """Stop reserving keys and hand votes over, within `left` seconds."""
         if self.quorum_client:
             self.quorum_client.close(left)
 
     async def disconnect(self, _left: float) -> None:
-        """Wait until the votes on reserved keys are handed over."""
+        """Wait until the votes on reserved keys have been handed over."""
         if self.quorum_client:
             await self.quorum_client.wait_closed()
 
     async def stop(self) -> None:
-        """Stop for good."""
+        """Stop the gossip and the reservation of keys."""
         if self.quorum_client:
             self.quorum_client.end()
         await self.actor.end()
 
     def status(self) -> StatusFields:
-        """Figures for the log."""
+        """Return the state of failover and of reservations, for the log."""
         fields: StatusFields = {"zones": self.actor.load_now()}
         if self.quorum_client:
             fields["claims"] = self.quorum_client.load_now()
--- a/shelfhaven/program/failover_command.py
+++ b/shelfhaven/program/failover_command.py
@@ -1,7 +1,7 @@
-"""The commands on zones: show where their traffic goes, and divert it or give it back by hand.
+"""Runs the `shelfhaven zones` commands, which show and override the traffic policy.
 
-Owns the way to the consensus store and to the node's view; `failover/administration.py` owns what is printed
-and changed.
+This module opens the consensus store and requests the node's view of the zones; `failover/administration.py`
+makes the changes and formats the output.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 async def run_command(files: Files, command: ZoneCommand) -> CommandOutput:
-    """Carry out a `shelfhaven zones` command."""
+    """Run a `shelfhaven zones` command and return its output."""
     assert files.operator
     assert files.operator.membership
     membership = files.operator.membership
@@ -27,11 +27,11 @@
             view = await _read_node_view(membership, peer_rpc)
             return await administration.run_command(store, view, command)
     except (ConsensusError, ValueError) as error:
-        return CommandOutput([f"no answer of the agreement: {error}"], ExitCode.NO_ANSWER)
+        return CommandOutput([f"no answer from the consensus store: {error}"], ExitCode.NO_ANSWER)
 
 
 async def _read_node_view(membership: MembershipConfig, peer_rpc: PeerRpc) -> NodeView:
-    """Return what this file's node sees of the zones; an empty view where it gives no answer."""
+    """Return the node's view of the zones; an empty view if it gives no valid answer."""
     node = str(membership.advertise)
     try:
         answer = await peer_rpc.post(node, "", NODE_VIEW_PATH, b"{}", membership.peer_timeout)
--- a/shelfhaven/program/frontends.py
+++ b/shelfhaven/program/frontends.py
@@ -1,7 +1,7 @@
-"""Frontends as components of the program: listeners of routers and gateways, mappings, listeners of proxies.
+"""The components for frontends: listeners for routers and gateways, listeners for proxies, and mappings.
 
-Only the routers' frontend is imported from the start: the others, and what they import, are needed only where
-an operator's file asks for them.
+Only the frontend for routers is imported at once. The others, with the libraries that they use, are imported
+only if the operator configuration asks for them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from shelfhaven.server.descriptors import Descriptors
 from shelfhaven.server.log import Log
 
-if TYPE_CHECKING:  # imported only where an operator's file is given
+if TYPE_CHECKING:  # at run time imported only if there is an operator configuration
     from pathlib import Path
 
     from shelfhaven.backends.proxy import ProxyRunner
@@ -27,38 +27,38 @@
     from shelfhaven.operator_config import Listen, Operator
     from shelfhaven.routing.request_mapping import MappingSettings, RequestMapping
 
-MAX_LISTEN_ATTEMPTS = 200  # 20 seconds in all: a process that had the address may take as long to be gone
+MAX_LISTEN_ATTEMPTS = 200  # 20 seconds in total, which the previous process may take to free the address
 LISTEN_RETRY_INTERVAL_S = 0.1
 
 
 class Listeners(Component):
-    """Listening sockets whose connections are the program's own: those of routers and gateways."""
+    """Listeners for routers and gateways, whose connections this process handles without a library."""
 
-    def __init__(self, first: Config, core: Core, descriptors: Descriptors, log: Log) -> None:
-        self.config = first
+    def __init__(self, config: Config, core: Core, descriptors: Descriptors, log: Log) -> None:
+        self.config = config
         self.core = core
         self.descriptors = descriptors
         self.log = log
         self.listeners: list[Listener] = []
-        if first.listen:
-            self.add_router_listener(first.listen, 0)
+        if config.listen:
+            self.add_router_listener(config.listen, 0)
 
     def add_router_listener(self, address: Address | Path, max_connections: int) -> None:
-        """Add a listener of routers; 0 connections: as many as the descriptors allow."""
+        """Add a listener for routers; `max_connections` 0 sets no limit but that of the descriptors."""
         index = ClassAndTenantIndex(self.config)
 
         def make_connection(stream: DetachableStream, _peer: str) -> RouterConnection:
-            """Return a router's connection."""
+            """Create the connection of a router."""
             return RouterConnection(stream, index, self.core.put, self.log)
 
         self._add(address, make_connection, max_connections)
 
     def add_gateway_listener(self, listen: Listen, mapping: RequestMapping) -> None:
-        """Add a listener of gateways."""
+        """Add a listener for gateways."""
         from shelfhaven.frontends.uwsgi import GatewayConnection
 
         def make_connection(stream: DetachableStream, peer: str) -> GatewayConnection:
-            """Return a gateway's connection."""
+            """Create the connection of a gateway."""
             return GatewayConnection(stream, peer, listen, mapping, self.core.put, self.log)
 
         self._add(listen.address, make_connection, listen.max_connections)
@@ -68,12 +68,12 @@
         self.listeners.append(listener)
 
     async def start(self) -> None:
-        """Listen on every address."""
+        """Start all listeners."""
         for listener in self.listeners:
             await self._listen(listener)
 
     async def _listen(self, listener: Listener) -> None:
-        """Listen; a process that had the address before may need a moment to be gone."""
+        """Start a listener; retry while the address is still in use by the previous process."""
         for attempts_left in range(MAX_LISTEN_ATTEMPTS - 1, -1, -1):
             try:
                 listener.start()
@@ -85,34 +85,34 @@
             await asyncio.sleep(LISTEN_RETRY_INTERVAL_S)
 
     def begin_drain(self) -> None:
-        """Begin the drain of every listener."""
+        """Begin the drain of all listeners."""
         for listener in self.listeners:
             listener.begin_drain()
 
     def stop_listening(self, _left: float) -> None:
-        """Stop listening; connections stay open."""
+        """Accept no new connections; those that are open stay open."""
         for listener in self.listeners:
             listener.stop_listening()
 
     def open_requests(self) -> int:
-        """Return how many requests are unanswered."""
+        """Return the number of unanswered requests."""
         return sum(listener.open_requests() for listener in self.listeners)
 
     def has_connections(self) -> bool:
-        """Whether a connection is open."""
+        """Return whether a connection is open."""
         return any(listener.connections for listener in self.listeners)
 
     async def disconnect(self, left: float) -> None:
-        """Close the connections within `left` seconds."""
+        """Close all connections within `left` seconds."""
         await asyncio.gather(*(listener.close_connections(left) for listener in self.listeners))
 
     def status(self) -> StatusFields:
-        """Return how many connections are open, for the log."""
+        """Return the number of open connections, for the log."""
         return {"connections": sum(len(listener.connections) for listener in self.listeners)}
 
 
 class Mappings(Component):
-    """The mappings of what gateways and proxies send, which a new operator configuration may change."""
+    """The mappings of the requests of gateways and proxies; a reload changes their rules."""
 
     def __init__(self, operator: Operator) -> None:
         from shelfhaven.routing.request_mapping import RequestMapping
@@ -120,25 +120,25 @@
         self.by_name = {name: RequestMapping(rules) for name, rules in operator.mappings.items()}
 
     def reload(self, _old: Files, new: Files) -> list[str]:
-        """Update each mapping; return those whose change has to wait for a restart."""
+        """Update each mapping; return those whose changes take effect only at a restart."""
         assert new.operator
-        unchanged: list[str] = []
+        pending_restart: list[str] = []
         for name, mapping in self.by_name.items():
             rules = new.operator.mappings.get(name)
             if rules and _can_update(mapping.settings, rules):
                 mapping.update(rules)
             elif rules != mapping.settings:
-                unchanged.append(f"mapping {name}")
-        return unchanged
+                pending_restart.append(f"mapping {name}")
+        return pending_restart
 
 
 def _can_update(current: MappingSettings, new: MappingSettings) -> bool:
-    """Whether the new rules leave alone what other components were built from."""
+    """Return whether the rules keep the tenants and idempotent classes, which other components depend on."""
     return new.tenants == current.tenants and new.idempotent_classes == current.idempotent_classes
 
 
 class Proxies(Component):
-    """Listeners of proxies, and the runner that stands for what the proxies run."""
+    """Listeners for proxies, and the runner that represents the requests that the proxies run."""
 
     def __init__(self, core: Core, log: Log) -> None:
         from shelfhaven.backends.proxy import ProxyRunner
@@ -149,7 +149,7 @@
         self.processors: list[ProxyListener] = []
 
     def add_listener(self, listen: Listen, mapping: RequestMapping) -> None:
-        """Add a listener; gRPC is imported only for one that speaks it."""
+        """Add a listener; gRPC is imported only for the external processing protocol."""
         from shelfhaven.frontends.consulting import ProxyListenerContext
         from shelfhaven.operator_config import ListenProtocol
 
@@ -170,37 +170,37 @@
             self.processors.append(SubrequestListener(listen, mapping, context))
 
     def _is_healthy(self) -> bool:
-        """Whether health checks of proxies are answered with success."""
+        """Return whether health checks of proxies succeed."""
         return self.core.healthy and self.core.ready() and not self.core.draining
 
     async def start(self) -> None:
-        """Listen on every address."""
-        for processor in self.processors:
-            await processor.start()
+        """Start all listeners."""
+        for proxy_listener in self.processors:
+            await proxy_listener.start()
 
     def begin_drain(self) -> None:
-        """Begin the drain of every listener."""
-        for processor in self.processors:
-            processor.begin_drain()
+        """Begin the drain of all listeners."""
+        for proxy_listener in self.processors:
+            proxy_listener.begin_drain()
 
     def stop_listening(self, left: float) -> None:
-        """Stop listening; what is open may end within `left` seconds."""
-        for processor in self.processors:
-            processor.stop_listening(left)
+        """Accept no new consultations; those that are open may finish within `left` seconds."""
+        for proxy_listener in self.processors:
+            proxy_listener.stop_listening(left)
 
     def open_requests(self) -> int:
-        """Return how many consultations are open."""
-        return sum(processor.open_requests() for processor in self.processors)
+        """Return the number of open consultations."""
+        return sum(proxy_listener.open_requests() for proxy_listener in self.processors)
 
     def has_connections(self) -> bool:
-        """Whether a consultation is open."""
+        """Return whether a consultation is open."""
         return bool(self.open_requests())
 
     async def disconnect(self, _left: float) -> None:
-        """End what is still open, at once."""
-        for processor in self.processors:
-            await processor.end()
+        """Close all listeners and open consultations at once."""
+        for proxy_listener in self.processors:
+            await proxy_listener.end()
 
     def status(self) -> StatusFields:
         """Return the load of each listener, for the log."""
-        return {"proxies": [processor.load_now() for processor in self.processors]}
+        return {"proxies": [proxy_listener.load_now() for proxy_listener in self.processors]}
--- a/shelfhaven/program/peers.py
+++ b/shelfhaven/program/peers.py
@@ -1,4 +1,4 @@
-"""The platform's peers as a component: the agent's link, the calls to the ledger, the load reports."""
+"""The component for the platform's services: the agent, the ledger and the membership service."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 from shelfhaven.server.log import Log
 from shelfhaven.server.status_reporter import StatusReporter
 
-PEERS = ("agent", "ledger", "members")  # whose addresses a new configuration file changes
+# Keys of the platform configuration, all of them addresses, that take effect at a reload.
+RELOADABLE_KEYS = ("agent", "ledger", "members")
 
 
 class Peers(Component):
-    """Agent, ledger and membership service."""
+    """Connections to the agent, the ledger and the membership service."""
 
-    def __init__(self, first: Config, core: Core, descriptors: Descriptors, log: Log) -> None:
-        self.agent = Agent(first.agent, core.put, log)
-        self.ledger = Ledger(first.ledger, descriptors, core.put, log)
-        self.members = StatusReporter(first.members, first.name, log)
-        self.link: asyncio.Task[None] | None = None
+    def __init__(self, config: Config, core: Core, descriptors: Descriptors, log: Log) -> None:
+        self.agent = Agent(config.agent, core.put, log)
+        self.ledger = Ledger(config.ledger, descriptors, core.put, log)
+        self.members = StatusReporter(config.members, config.name, log)
+        self.agent_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to report the load, and to connect to the agent."""
+        """Start reporting the load and connecting to the agent."""
         self.members.start()
-        self.link = asyncio.get_running_loop().create_task(self.agent.run())
+        self.agent_task = asyncio.get_running_loop().create_task(self.agent.run())
 
     def reload(self, _old: Files, new: Files) -> list[str]:
-        """Use the peers' changed addresses."""
+        """Connect to changed addresses."""
         self.agent.move(new.config.agent)
         self.ledger.move(new.config.ledger)
         self.members.set_address(new.config.members)
@@ -42,10 +43,10 @@
         self.agent.end()
         self.ledger.end()
         self.members.end()
-        if self.link:
-            self.link.cancel()
-            await asyncio.gather(self.link, return_exceptions=True)
+        if self.agent_task:
+            self.agent_task.cancel()
+            await asyncio.gather(self.agent_task, return_exceptions=True)
 
     def status(self) -> StatusFields:
-        """The open calls to the ledger, for the log."""
+        """Return the number of open calls to the ledger, for the log."""
         return {"calls": len(self.ledger.connections)}
--- a/shelfhaven/program/pools.py
+++ b/shelfhaven/program/pools.py
@@ -1,4 +1,4 @@
-"""The pools of uwsgi backends as a component; imported only where an operator's file has any."""
+"""The component for pools of uwsgi backends; imported only if there are pools or listeners for proxies."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PoolsComponent(Component):
-    """All pools.
+    """Runs requests on the pools of the operator configuration.
 
-    `other_loads`: of the runners beside them on the same core. `with_endpoint_list` puts the backends of the
-    endpoint list into the configurations of the file, where there is a membership.
+    `other_loads` return the loads of the other runners of the same core. `with_listed_servers`, which the
+    membership sets, replaces the servers in pool configurations by those of the endpoint list.
     """
 
     def __init__(
@@ -35,26 +35,26 @@
         config = core.config
         gauges = LoadGauges(config.settings.gauges, other_loads)
         self.runner = UwsgiRunner(operator.pools, gauges, descriptors, core.put, log, config.seed)
-        self.starts_alone = config.agent is None  # no agent says when work can be taken up
+        self.starts_without_agent = config.agent is None  # otherwise work starts when the agent connects
         self.configs: PoolConfigs = operator.pools
-        self.with_endpoint_list: Callable[[PoolConfigs], PoolConfigs] = lambda configs: configs
+        self.with_listed_servers: Callable[[PoolConfigs], PoolConfigs] = lambda configs: configs
 
     def by_name(self) -> dict[str, Pool]:
-        """Return what each pool knows of its backends."""
+        """Return the pools with the state of their backends, by name."""
         return {name: actor.router.pool for name, actor in self.runner.pools.items()}
 
     async def start(self) -> None:
-        """Take up work, unless the agent's connection does."""
-        if self.starts_alone:
+        """Start running requests; with an agent, its connection starts them."""
+        if self.starts_without_agent:
             self.runner.start()
 
     def reload(self, _old: Files, new: Files) -> list[str]:
-        """Take new pools, unless a class would change its runner."""
+        """Apply changed pools; a change of the classes that pools run takes effect only at a restart."""
         assert new.operator
         configs = new.operator.pools
-        if _classes(self.configs) != _classes(configs):
+        if _class_names(self.configs) != _class_names(configs):
             return ["pool"]
-        self.runner.update(self.with_endpoint_list(configs))
+        self.runner.update(self.with_listed_servers(configs))
         self.configs = configs
         return []
 
@@ -63,9 +63,9 @@
         self.runner.end()
 
     def status(self) -> StatusFields:
-        """What each pool has in flight, for the log."""
+        """Return the load of each pool, for the log."""
         return {"pools": self.runner.load_now()}
 
 
-def _classes(configs: PoolConfigs) -> set[str]:
+def _class_names(configs: PoolConfigs) -> set[str]:
     return {class_name for config in configs.values() for class_name in config.runs}
--- a/shelfhaven/program/singleton_tasks.py
+++ b/shelfhaven/program/singleton_tasks.py
@@ -1,5 +1,7 @@
-"""Leader election as a component: the consensus store that the file names, the work of each singleton task,
-and what the rest of the node tells them.
+"""The component for singleton tasks and their leader election.
+
+It opens the consensus store, creates the tasks that this node leads, and connects both to the membership, the
+key store and the failover of the node.
 """
 
 from __future__ import annotations
@@ -29,23 +31,23 @@
 from shelfhaven.server.core import Core
 from shelfhaven.server.log import Log
 
-if TYPE_CHECKING:  # imported only where the file has zones
+if TYPE_CHECKING:  # at run time imported only if zones are configured
     from shelfhaven.program.failover import FailoverComponent
 
 
-def _nodes_with_zones(items: Mapping[str, Endpoint]) -> list[CandidateNode]:
-    """Return the nodes on a list."""
+def _listed_candidates(items: Mapping[str, Endpoint]) -> list[CandidateNode]:
+    """Return the nodes of an endpoint list as candidates."""
     return [CandidateNode(node.name, node.zone) for node in nodes_of(items)]
 
 
 class MembershipServices:
-    """What the node's membership offers to the work of leaders; nothing, where there is none."""
+    """What singleton tasks use of the node's membership; without a membership the methods do nothing."""
 
     def __init__(self, membership: MembershipComponent | None) -> None:
         self.membership = membership
 
     def addresses(self) -> list[str]:
-        """Return the addresses of the other nodes that are known."""
+        """Return the addresses of all known peers."""
         if self.membership is None:
             return []
         actor = self.membership.actor
@@ -53,7 +55,7 @@
         return sorted({*listed, *actor.member.peers.neighbours} - {actor.identity.address})
 
     async def post(self, peer: str, path: str, body: bytes) -> bytes | None:
-        """Return a peer's answer, None if it gave none."""
+        """Send a request to a peer; return its answer, or None if it gives none."""
         if self.membership is None:
             return None
         actor = self.membership.actor
@@ -66,13 +68,13 @@
             return None
 
     def watch_list(self, enabled: bool) -> None:
-        """Watch the list service for the zone, or leave that to others."""
+        """Make this node the zone watcher, or stop it from being so."""
         if self.membership:
             self.membership.actor.set_zone_watcher(enabled)
 
 
 class SingletonTasksComponent(Component):
-    """Singleton tasks, whose leaders are elected by lease."""
+    """Takes part in the elections of singleton tasks, and runs those that this node leads."""
 
     def __init__(
         self, operator: Operator, core: Core, membership: MembershipComponent | None, log: Log,
@@ -89,19 +91,19 @@
         self.actor: ElectionActor | None = None
 
     async def start(self) -> None:
-        """Open the store and take part in elections."""
+        """Open the consensus store and start taking part in elections."""
         environment = self._environment()
         self.actor = ElectionActor(self.config.elector, self.config.zones(), environment)
         if self.failover:
-            self.failover.use_store(environment.store)
-        self.core.keys.on_uncertain = self._outcome_unknown
+            self.failover.set_store(environment.store)
+        self.core.keys.on_uncertain = self._add_unresolved_operation
         if self.membership:
             self.membership.actor.peer_rpc.routes |= peer_routes(self.unresolved)
-        self._follow_candidates(self.actor)
+        self._track_candidates(self.actor)
         self.actor.start()
 
     def _environment(self) -> ElectionEnvironment:
-        """Return what elections use of this node; without a membership it is the only one."""
+        """Return the dependencies of the election actor; without a membership this is the only node."""
         environment = ElectionEnvironment(
             node=self.core.config.name,
             address="",
@@ -131,79 +133,85 @@
         secret = membership.config.secret
         return open_store(self.config.store, name, address, membership.peer_rpc, secret, self.log)
 
-    def _follow_candidates(self, actor: ElectionActor) -> None:
-        """Tell elections of the nodes that may lead, and of changes where there is a list service."""
+    def _track_candidates(self, actor: ElectionActor) -> None:
+        """Set the nodes that may lead and, with a list service, keep them up to date."""
         if self.membership is None or self.membership.actor.config.service is None:
-            actor.nodes_changed(self._nodes_without_list(self.core.config.name))
+            actor.nodes_changed(self._unlisted_candidates(self.core.config.name))
             return
         actor.rankings_changed = self._prefer_list_watchers
         self.membership.node.watchers.append(self._list_changed)
         self._list_changed(self.membership.node.items)
 
     def reload(self, _old: Files, new: Files) -> list[str]:
-        """Go by a new file; another store is used at once only where it is the same one elsewhere."""
+        """Apply changed tasks and election settings.
+
+        Of the store, only the endpoints of an etcd store change at once; other changes need a restart.
+        """
         config = new.operator.singleton_tasks if new.operator else None
         if config is None or self.actor is None:
             return ["duties"]
-        store, store_before = config.store, self.config.store
-        self.config = SingletonTasksConfig(store_before, config.elector, config.tasks)
+        new_store, old_store = config.store, self.config.store
+        self.config = SingletonTasksConfig(old_store, config.elector, config.tasks)
         self.actor.reconfigure(config.elector, self.config.zones())
-        if store == store_before:
+        if new_store == old_store:
             return []
-        if not _only_endpoints_differ(store, store_before):
+        if not _only_endpoints_differ(new_store, old_store):
             return ["duties agree"]
-        self.actor.store.set_endpoints(store.endpoints)  # type: ignore[attr-defined]
+        self.actor.store.set_endpoints(new_store.endpoints)  # type: ignore[attr-defined]
         self.actor.store_replaced()
         self.config = config
         return []
 
     def begin_drain(self) -> None:
-        """Hand all tasks over: the node shuts down gracefully."""
+        """Hand all tasks over to other nodes."""
         if self.actor:
             self.actor.drain()
 
     async def stop(self) -> None:
-        """Stop for good."""
+        """Stop taking part in elections and close the store."""
         if self.actor:
             await self.actor.close()
 
     def status(self) -> StatusFields:
-        """Return what the node's line on its load says of singleton tasks."""
+        """Return the state of elections and of unresolved operations, for the log."""
         if self.actor is None:
             return {}
-        operations = self.unresolved
+        unresolved = self.unresolved
         counts = {
-            "unclear": len(operations.by_id),
-            "settled": operations.resolved,
-            "forgotten": operations.forgotten,
+            "unclear": len(unresolved.by_id),
+            "settled": unresolved.resolved,
+            "forgotten": unresolved.forgotten,
         }
         return {"duties": self.actor.load_now() | counts}
 
-    def _nodes_without_list(self, name: str) -> Sequence[CandidateNode]:
-        """Return who may lead where there is no list service: the store's members, or this node alone."""
+    def _unlisted_candidates(self, own_name: str) -> Sequence[CandidateNode]:
+        """Return the candidates without a list service: the members of the store, or else only this node."""
         zone = self.membership.actor.identity.zone if self.membership else ""
         members = self.config.store.members
-        return [CandidateNode(member, zone) for member in members or [name]]
+        return [CandidateNode(member, zone) for member in members or [own_name]]
 
     def _list_changed(self, items: dict[str, Endpoint]) -> None:
         if self.actor:
-            self.actor.nodes_changed(_nodes_with_zones(items))
+            self.actor.nodes_changed(_listed_candidates(items))
 
     def _prefer_list_watchers(self, rankings: dict[str, CandidateRanking]) -> None:
-        """Have the nodes of a zone ask first whichever node watches the zone's list."""
+        """Make this node prefer zone watchers when it polls peers.
+
+        A zone watcher is the first candidate of the task that watches the list for its zone.
+        """
         assert self.membership
-        # rankings may be those of the file before
+        # after a reload, the rankings may still be those of the previous configuration
         tasks = [task for task in self.config.tasks.values() if task.kind is TaskKind.WATCH_LIST]
-        orders = {task.zone: rankings[task.name].order for task in tasks if task.name in rankings}
-        watchers = {zone: order[0] for zone, order in orders.items() if order}
+        candidates_by_zone = {task.zone: rankings[task.name].order for task in tasks if task.name in rankings}
+        watchers = {zone: candidates[0] for zone, candidates in candidates_by_zone.items() if candidates}
         member = self.membership.actor.member
         member.fleet.zone_watchers = {f"{NODE_KEY_PREFIX}{zone}/{node}" for zone, node in watchers.items()}
 
-    def _outcome_unknown(self, request_class: str, tenant: str, key: str) -> None:
+    def _add_unresolved_operation(self, request_class: str, tenant: str, key: str) -> None:
         self.unresolved.add(UnresolvedOperation(request_class, tenant, key, time.time()))
 
     def _make_task(self, name: str) -> leader_tasks.LeaderTask:
-        """Make the work of a task, as the file has it just now."""
+        """Create the task named `name` from the current configuration."""
         task = self.config.tasks[name]
         if task.kind is TaskKind.WATCH_LIST:
             return WatchListTask(self.services)
@@ -219,8 +227,8 @@
         return SendTask(settings, target, self.log)
 
 
-def _only_endpoints_differ(store: StoreConfig, before: StoreConfig) -> bool:
-    """Whether both are one etcd store, reached at other endpoints."""
-    if store.kind is not StoreKind.ETCD or before.kind is not StoreKind.ETCD:
+def _only_endpoints_differ(new: StoreConfig, old: StoreConfig) -> bool:
+    """Return whether both are etcd stores that differ in nothing but their endpoints."""
+    if new.kind is not StoreKind.ETCD or old.kind is not StoreKind.ETCD:
         return False
-    return store.prefix == before.prefix and store.timeout == before.timeout
+    return new.prefix == old.prefix and new.timeout == old.timeout
--- a/shelfhaven/program/singleton_tasks_command.py
+++ b/shelfhaven/program/singleton_tasks_command.py
@@ -1,7 +1,7 @@
-"""The commands on singleton tasks: list and show them, give one to a node, take one away.
+"""Runs the `shelfhaven duties` commands, which list, show, assign and disable singleton tasks.
 
-Owns the way to the consensus store and to the nodes' list; `election/administration.py` owns what is printed
-and changed.
+This module opens the consensus store and requests the node's endpoint list; `election/administration.py`
+makes the changes and formats the output.
 """
 
 from __future__ import annotations
@@ -29,7 +29,11 @@
 
 
 async def run_command(files: Files, name: str, command: str, node: str, confirmed: bool) -> CommandOutput:
-    """Run `list`, `show`, `give` or `take-away`; without confirmation nothing is changed."""
+    """Run `list`, `show`, `give` or `take-away` and return its output.
+
+    `name` is the task, "" for all tasks (`list` only). `node` is the node to which `give` assigns it, "" for
+    the first candidate. A change that is not `confirmed` is only described.
+    """
     config = _config(files)
     try:
         async with command_line_store(files) as (store, peer_rpc):
@@ -39,31 +43,33 @@
                 return CommandOutput(administration.format_table(statuses))
             (status,) = statuses
             if command == "take-away":
-                return await _change(store, administration.plan_disabling(status), confirmed)
+                return await _apply_or_describe(store, administration.plan_disabling(status), confirmed)
             rankings = rank_candidates(config.zones(), await _candidates(files, peer_rpc))
             ranking = rankings.get(name, NO_CANDIDATES)
             if command == "show":
                 return CommandOutput(administration.format_detail(status, ranking))
-            return await _give(store, status, node, ranking, confirmed)
+            return await _assign(store, status, node, ranking, confirmed)
     except ConsensusError as error:
-        return CommandOutput([f"no answer of the agreement: {error}"], administration.EXIT_STORE_UNREACHABLE)
+        return CommandOutput(
+            [f"no answer from the consensus store: {error}"], administration.EXIT_STORE_UNREACHABLE
+        )
 
 
-async def _give(
+async def _assign(
     store: ConsensusStore, status: TaskStatus, node: str, ranking: CandidateRanking, confirmed: bool
 ) -> CommandOutput:
     try:
         change = administration.plan_assignment(status, node, ranking)
     except administration.NotACandidateError as error:
         return CommandOutput([str(error)], EXIT_BAD_NODE)
-    return await _change(store, change, confirmed)
+    return await _apply_or_describe(store, change, confirmed)
 
 
-async def _change(
+async def _apply_or_describe(
     store: ConsensusStore, change: administration.PlannedChange, confirmed: bool
 ) -> CommandOutput:
     if not confirmed:
-        return CommandOutput([change.description, "nothing was changed; --yes does it"])
+        return CommandOutput([change.description, "nothing was changed; use --yes to apply this"])
     output = await administration.apply_change(store, change)
     return CommandOutput([change.description, *output.lines], output.exit_code)
 
@@ -75,7 +81,11 @@
 
 
 async def _candidates(files: Files, peer_rpc: PeerRpc) -> Sequence[CandidateNode]:
-    """Return the nodes that may lead, with their zones, as a running node's list has them."""
+    """Return the nodes that may lead, with their zones.
+
+    With a list service these are the nodes of the running node's endpoint list, none if it does not answer;
+    without one, the members of the store.
+    """
     assert files.operator
     assert files.operator.membership
     membership = files.operator.membership
--- a/tests/program/test_composition.py
+++ b/tests/program/test_composition.py
@@ -1,4 +1,4 @@
-"""The order in which components start, drain and stop, and what a reload cannot bring."""
+"""The order in which components start, drain and stop, and the changes that take effect only at a restart."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from shelfhaven import operator_config
-from shelfhaven.program.app import App, _fixed_keys
+from shelfhaven.program.app import App, _changes_pending_restart
 from shelfhaven.program.component import Files
 from shelfhaven.server.log import Log
 from tests.operator_config.sources import VALID_FILE, with_membership, with_singleton_tasks, with_zones
@@ -17,18 +17,21 @@
 
 
 def _files(text: str) -> Files:
-    loaded = operator_config.parse(text, "f")
-    return Files(loaded.config, loaded.operator)
+    parsed = operator_config.parse(text, "f")
+    return Files(parsed.config, parsed.operator)
 
 
-def _order(text: str) -> list[str]:
-    log = Log("test", os.open(os.devnull, os.O_WRONLY))
-    return [type(component).__name__ for component in App(_files(text), log).components]
+def _app(files: Files) -> App:
+    return App(files, Log("test", os.open(os.devnull, os.O_WRONLY)))
 
 
-def test_components_depend_on_those_before_them(tmp_path: Path) -> None:
+def _component_names(text: str) -> list[str]:
+    return [type(component).__name__ for component in _app(_files(text)).components]
+
+
+def test_all_components_are_ordered_by_their_dependencies(tmp_path: Path) -> None:
     text = with_zones(tmp_path) + PROXY_LISTENER + f'keys file="{tmp_path}/keys.db"\n'
-    assert _order(text) == [
+    assert _component_names(text) == [
         "Listeners",
         "Proxies",
         "Peers",
@@ -41,24 +44,24 @@
     ]
 
 
-def test_there_are_only_the_components_that_the_file_asks_for(tmp_path: Path) -> None:
-    platform_and_pools = ["Listeners", "Peers", "Mappings", "PoolsComponent"]
-    assert _order(VALID_FILE) == platform_and_pools
-    assert _order(with_membership(tmp_path)) == [*platform_and_pools, "MembershipComponent"]
+def test_only_configured_components_are_created(tmp_path: Path) -> None:
+    components_with_pools = ["Listeners", "Peers", "Mappings", "PoolsComponent"]
+    assert _component_names(VALID_FILE) == components_with_pools
+    assert _component_names(with_membership(tmp_path)) == [*components_with_pools, "MembershipComponent"]
 
 
-def test_singleton_tasks_without_a_membership_come_last() -> None:
-    alone = """
+def test_without_a_membership_singleton_tasks_come_last() -> None:
+    singleton_tasks = """
 duties {
     agree engine="alone"
     duty "settle" kind="send" to="http://127.0.0.1:8800" file="/var/lib/day"
 }
 """
-    assert _order(VALID_FILE + alone)[-1] == "SingletonTasksComponent"
+    assert _component_names(VALID_FILE + singleton_tasks)[-1] == "SingletonTasksComponent"
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "unchanged"),
+    ("before", "after", "pending_restart"),
     [
         ("valid", "valid", []),
         ("valid", "other address", ["listen"]),
@@ -68,8 +71,8 @@
         ("zones and keys", "valid", []),
     ],
 )
-def test_what_takes_effect_only_at_a_restart_has_its_name_in_the_file(
-    before: str, after: str, unchanged: list[str], tmp_path: Path
+def test_changes_pending_a_restart_are_returned_by_key(
+    before: str, after: str, pending_restart: list[str], tmp_path: Path
 ) -> None:
     texts = {
         "valid": VALID_FILE,
@@ -79,4 +82,4 @@
         "singleton tasks": with_singleton_tasks(tmp_path),
         "zones and keys": with_zones(tmp_path) + f'keys file="{tmp_path}/keys.db"\n',
     }
-    assert _fixed_keys(_files(texts[before]), _files(texts[after])) == unchanged
+    assert _changes_pending_restart(_files(texts[before]), _files(texts[after])) == pending_restart
