--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,8 @@
-"""`run` of deploy/balancer.toml, started where what the operators' platform refuses ends the process."""
+"""The `run` command of deploy/balancer.toml, under the system call filter of the operators' platform.
+
+On the platform, a forbidden system call kills the process. `refusing/sitecustomize.py` installs a filter that
+does the same in every Python process that the tests start.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +25,21 @@
 from tests.test_config import CONFIG
 
 ROOT = Path(__file__).parent.parent
-REFUSING = Path(__file__).parent / "refusing"
-RUN: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+FILTER_FOLDER = Path(__file__).parent / "refusing"  # has a sitecustomize.py
+RUN_COMMAND: str = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
 
-pytestmark = pytest.mark.skipif(os.uname().machine != "x86_64", reason="the filter knows calls of x86-64")
+pytestmark = pytest.mark.skipif(
+    os.uname().machine != "x86_64", reason="the filter has the system call numbers of x86-64"
+)
 
 
-def environment(**more: str) -> dict[str, str]:
-    """The environment in which every Python refuses what the platform refuses."""
-    return {**os.environ, "PYTHONPATH": str(REFUSING), **more}
+def environment(**variables: str) -> dict[str, str]:
+    """Return environment variables with which every Python process installs the filter."""
+    return {**os.environ, "PYTHONPATH": str(FILTER_FOLDER), **variables}
 
 
 @pytest.mark.parametrize(
-    "reach",
+    "statement",
     [
         "os.fork()",
         "os.execv('/bin/true', ['true'])",
@@ -45,26 +51,26 @@
         "socket.socket(socket.AF_INET, socket.SOCK_RAW)",
     ],
 )
-def test_what_the_platform_refuses_ends_a_process(reach: str) -> None:
-    command = [sys.executable, "-c", f"import os, socket, subprocess; {reach}"]
+def test_forbidden_system_calls_kill_the_process(statement: str) -> None:
+    command = [sys.executable, "-c", f"import os, socket, subprocess; {statement}"]
     assert subprocess.run(command, env=environment(), capture_output=True).returncode == -signal.SIGSYS
 
 
-def test_what_the_platform_has_is_allowed() -> None:
-    uses = """
+def test_system_calls_that_the_server_needs_are_allowed() -> None:
+    program = """
 import asyncio, socket, threading
 threading.Thread(target=print).start()
 socket.socket(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK), socket.socketpair()
 asyncio.run(asyncio.sleep(0))
 """
-    command = [sys.executable, "-c", uses]
+    command = [sys.executable, "-c", program]
     assert subprocess.run(command, env=environment(), capture_output=True).returncode == 0
 
 
-def test_run_is_one_process_that_reaches_for_nothing_refused(tmp_path: Path) -> None:
-    """From start to the end of a drain, with a call below, a new configuration and a faulty one."""
-    assert RUN.startswith("exec .venv/bin/python ")
-    command = RUN.replace(".venv/bin/python", sys.executable)
+def test_the_run_command_makes_no_forbidden_system_calls_and_starts_no_process(tmp_path: Path) -> None:
+    """Covers the start, a downstream call, reloads of an invalid and a valid configuration, and a drain."""
+    assert RUN_COMMAND.startswith("exec .venv/bin/python ")
+    command = RUN_COMMAND.replace(".venv/bin/python", sys.executable)
 
     async def check() -> None:
         agent, ledger, members = Agent(), Ledger(), Members()
@@ -77,26 +83,26 @@
         data["settings"]["classes"][0].update({"deadline": 6.0, "on-time": 4.0})
         path = tmp_path / "config.json"
         path.write_bytes(orjson.dumps(data))
-        with (tmp_path / "log").open("wb") as log:
+        with (tmp_path / "log").open("wb") as log_file:
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", command, cwd=ROOT, env=environment(GW_CONFIG=str(path)), stderr=log
+                "/bin/sh", "-c", command, cwd=ROOT, env=environment(GW_CONFIG=str(path)), stderr=log_file
             )
-        started = process.pid
+        pid = process.pid
         try:
             await until(lambda: agent.writer)
             await until(lambda: b"HB n3 UP" in members.reports())
             router = Router(*await asyncio.open_connection("127.0.0.1", port))
             agent.on_launch = agent.call_downstream
-            call = router.request(1)
+            attempt_id = router.request(1)
             assert "result" in await router.answer(1)
-            assert ledger.calls == [(call, b"ask")]
+            assert ledger.calls == [(attempt_id, b"ask")]
             path.write_text("{")
             process.send_signal(signal.SIGHUP)
             await until(lambda: b"reload_refused" in (tmp_path / "log").read_bytes())
             path.write_bytes(orjson.dumps(data))
             process.send_signal(signal.SIGHUP)
             await until(lambda: b"reloaded" in (tmp_path / "log").read_bytes())
-            assert Path(f"/proc/{started}/task/{started}/children").read_text() == ""
+            assert Path(f"/proc/{pid}/task/{pid}/children").read_text() == ""
             process.terminate()
             assert await process.wait() == 0
         finally:
