--- a/shelfhaven/program/app.py
+++ b/shelfhaven/program/app.py
@@ -51,7 +51,7 @@
     ENDED = "ended"
 
 
-NEXT = {  # the phases that may follow each phase
+NEXT_PHASES = {  # the phases that may follow each phase
     Phase.STARTING: {Phase.SERVING},
     Phase.SERVING: {Phase.DRAINING},
     Phase.DRAINING: {Phase.CLOSING},
@@ -100,9 +100,9 @@
         return self.composition.proxies
 
     @property
-    def processors(self) -> list[ProxyListener]:
+    def proxy_listeners(self) -> list[ProxyListener]:
         """All proxy listeners."""
-        return self.proxies.processors if self.proxies else []
+        return self.proxies.proxy_listeners if self.proxies else []
 
     @property
     def pools(self) -> UwsgiRunner | None:
@@ -134,7 +134,7 @@
         return [pools if pools and cls in pools.by_class else default_runner for cls in self.config.classes]
 
     def _enter(self, phase: Phase) -> None:
-        if phase not in NEXT[self.phase]:
+        if phase not in NEXT_PHASES[self.phase]:
             raise RuntimeError(f"{self.phase.value} is not followed by {phase.value}")
         self.phase = phase
         self.log.event("phase", phase=phase.value)
--- a/shelfhaven/program/frontends.py
+++ b/shelfhaven/program/frontends.py
@@ -146,7 +146,7 @@
         self.core = core
         self.log = log
         self.runner: ProxyRunner = ProxyRunner(core.config.settings.cores, core.put, log)
-        self.processors: list[ProxyListener] = []
+        self.proxy_listeners: list[ProxyListener] = []
 
     def add_listener(self, listen: Listen, mapping: RequestMapping) -> None:
         """Add a listener; gRPC is imported only for the external processing protocol."""
@@ -163,11 +163,11 @@
         if listen.protocol is ListenProtocol.EXTERNAL_PROCESSING:
             from shelfhaven.frontends.extproc import ExternalProcessingListener
 
-            self.processors.append(ExternalProcessingListener(listen, mapping, context))
+            self.proxy_listeners.append(ExternalProcessingListener(listen, mapping, context))
         else:
             from shelfhaven.frontends.subrequest import SubrequestListener
 
-            self.processors.append(SubrequestListener(listen, mapping, context))
+            self.proxy_listeners.append(SubrequestListener(listen, mapping, context))
 
     def _is_healthy(self) -> bool:
         """Return whether health checks of proxies succeed."""
@@ -175,22 +175,22 @@
 
     async def start(self) -> None:
         """Start all listeners."""
-        for proxy_listener in self.processors:
+        for proxy_listener in self.proxy_listeners:
             await proxy_listener.start()
 
     def begin_drain(self) -> None:
         """Begin the drain of all listeners."""
-        for proxy_listener in self.processors:
+        for proxy_listener in self.proxy_listeners:
             proxy_listener.begin_drain()
 
     def stop_listening(self, left: float) -> None:
         """Accept no new consultations; those that are open may finish within `left` seconds."""
-        for proxy_listener in self.processors:
+        for proxy_listener in self.proxy_listeners:
             proxy_listener.stop_listening(left)
 
     def open_requests(self) -> int:
         """Return the number of open consultations."""
-        return sum(proxy_listener.open_requests() for proxy_listener in self.processors)
+        return sum(proxy_listener.open_requests() for proxy_listener in self.proxy_listeners)
 
     def has_connections(self) -> bool:
         """Return whether a consultation is open."""
@@ -198,9 +198,9 @@
 
     async def disconnect(self, _left: float) -> None:
         """Close all listeners and open consultations at once."""
-        for proxy_listener in self.processors:
+        for proxy_listener in self.proxy_listeners:
             await proxy_listener.end()
 
     def status(self) -> StatusFields:
         """Return the load of each listener, for the log."""
-        return {"proxies": [proxy_listener.load_now() for proxy_listener in self.processors]}
+        return {"proxies": [proxy_listener.load_now() for proxy_listener in self.proxy_listeners]}
--- a/tests/frontends/proxy_nodes.py
+++ b/tests/frontends/proxy_nodes.py
@@ -50,7 +50,7 @@
         if not running.running.done():
             running.running.cancel()
         await asyncio.gather(running.running, return_exceptions=True)
-        for processor in running.app.processors:
+        for processor in running.app.proxy_listeners:
             await processor.end()
         running.backends[0].stop()
         running.folder.cleanup()
--- a/tests/frontends/test_extproc.py
+++ b/tests/frontends/test_extproc.py
@@ -170,7 +170,9 @@
             await until(lambda: len(node.forwarded) + sum(task.done() for task in asking) == 1000)
             assert len(node.forwarded) > 50
             await proxy.close()
-            await until(lambda: not node.app.core.requests and not node.app.processors[0].open_requests())
+            await until(
+                lambda: not node.app.core.requests and not node.app.proxy_listeners[0].open_requests()
+            )
             assert not node.app.proxies.runner.consultations  # type: ignore[union-attr]
             for task in asking:
                 task.cancel()
@@ -278,7 +280,7 @@
             for message in (Request(response_headers=ok), Request(response_body=part)):
                 await proxy._exchange(stream, message)
             await until(lambda: not node.app.core.requests)  # over before the rest has come
-            assert node.app.processors[0].streams.buffered_bytes == 0
+            assert node.app.proxy_listeners[0].streams.buffered_bytes == 0
             again = await proxy.ask("POST", "/topup", b"five", **KEYED)
             assert again.reply
             assert (again.reply.status, again.forwarded) == (502, False)
@@ -290,8 +292,8 @@
     async def check() -> None:
         async with running_proxy_node() as node:
             stream = node.proxy().process()
-            await until(lambda: node.app.processors[0].open_requests() == 1)
-            await until(lambda: node.app.processors[0].open_requests() == 0)
+            await until(lambda: node.app.proxy_listeners[0].open_requests() == 1)
+            await until(lambda: node.app.proxy_listeners[0].open_requests() == 0)
             assert await stream.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
     run_async(check)
@@ -324,7 +326,7 @@
             proxy.upstream = upstream_waiting_for(release)
             first = asyncio.ensure_future(proxy.ask("GET", "/balance/1"))
             await until(lambda: node.forwarded)
-            listener = node.app.processors[0]
+            listener = node.app.proxy_listeners[0]
             with patch.object(listener, "load_now", return_value={}):  # the periodic log line resets counts
                 second = asyncio.ensure_future(proxy.ask("GET", "/balance/2"))
                 await until(lambda: len(node.forwarded) == 2)
--- a/tests/frontends/test_extproc_faults.py
+++ b/tests/frontends/test_extproc_faults.py
@@ -78,7 +78,7 @@
     async def check() -> None:
         async with running_proxy_node() as node:
             bad = await open_http2_client(node)
-            log = node.app.processors[0].log
+            log = node.app.proxy_listeners[0].log
             bad.http.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
             with patch.object(log, "event", wraps=log.event) as events:
                 for number in range(20):
@@ -88,7 +88,9 @@
                 await until(
                     lambda: [call.args[0] for call in events.call_args_list].count("proxy_stalls") == 20
                 )
-            await until(lambda: not node.app.processors[0].open_requests() and not node.app.core.requests)
+            await until(
+                lambda: not node.app.proxy_listeners[0].open_requests() and not node.app.core.requests
+            )
             await ask_until_forwarded(node.proxy())
             bad.writer.close()
 
@@ -111,7 +113,9 @@
             bad.flush()
             await ask_until_forwarded(node.proxy(verdict_timeout=5.0))
             bad.writer.close()
-            await until(lambda: not node.app.processors[0].open_requests() and not node.app.core.requests)
+            await until(
+                lambda: not node.app.proxy_listeners[0].open_requests() and not node.app.core.requests
+            )
 
     run_async(check)
 
@@ -126,7 +130,7 @@
                 pings.http.ping(number.to_bytes(8, "big"))
             pings.flush()
             await ask_until_forwarded(node.proxy())
-            await until(lambda: node.app.processors[0].open_requests() == 0)
+            await until(lambda: node.app.proxy_listeners[0].open_requests() == 0)
             large.writer.close()
             pings.writer.close()
 
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -16,7 +16,7 @@
 from shelfhaven.backends import ledger
 from shelfhaven.backends.agent import MAX_BACKOFF, RESTART_MARGIN
 from shelfhaven.lab.callers import until
-from shelfhaven.program.app import NEXT, App, Phase
+from shelfhaven.program.app import NEXT_PHASES, App, Phase
 from shelfhaven.protocol import agent as wire
 from shelfhaven.protocol import jsonrpc
 from shelfhaven.server.log import Log
@@ -467,9 +467,9 @@
 
 def test_phases_follow_in_order_until_the_last() -> None:
     phase, earlier_phases = Phase.STARTING, []
-    while NEXT[phase]:
+    while NEXT_PHASES[phase]:
         earlier_phases.append(phase)
-        phase = next(following for following in Phase if following in NEXT[phase])
+        phase = next(following for following in Phase if following in NEXT_PHASES[phase])
     assert [*earlier_phases, phase] == list(Phase)
 
 
