--- a/tests/frontends/proxy_nodes.py
+++ b/tests/frontends/proxy_nodes.py
@@ -51,7 +51,7 @@
         if not node.task.done():
             node.task.cancel()
         await asyncio.gather(node.task, return_exceptions=True)
-        for processor in node.app.processors:
+        for processor in node.app.proxy_listeners:
             await processor.end()
         node.backends[0].stop()
         node.folder.cleanup()
--- a/tests/frontends/test_extproc.py
+++ b/tests/frontends/test_extproc.py
@@ -171,7 +171,9 @@
             await until(lambda: len(node.forwarded) + sum(task.done() for task in asking) == 1000)
             assert len(node.forwarded) > 50
             await proxy.close()
-            await until(lambda: not node.app.core.requests and not node.app.processors[0].open_requests())
+            await until(
+                lambda: not node.app.core.requests and not node.app.proxy_listeners[0].open_requests()
+            )
             assert not node.app.proxies.runner.consultations  # type: ignore[union-attr]
             for task in asking:
                 task.cancel()
@@ -279,7 +281,7 @@
             for message in (Request(response_headers=ok), Request(response_body=part)):
                 await proxy._exchange(stream, message)
             await until(lambda: not node.app.core.requests)  # the run ends before the rest of the body comes
-            assert node.app.processors[0].streams.buffered_bytes == 0
+            assert node.app.proxy_listeners[0].streams.buffered_bytes == 0
             again = await proxy.ask("POST", "/topup", b"five", **KEYED)
             assert again.reply
             assert (again.reply.status, again.forwarded) == (502, False)
@@ -291,8 +293,8 @@
     async def check() -> None:
         async with running_proxy_node() as node:
             stream = node.new_proxy().process()
-            await until(lambda: node.app.processors[0].open_requests() == 1)
-            await until(lambda: node.app.processors[0].open_requests() == 0)
+            await until(lambda: node.app.proxy_listeners[0].open_requests() == 1)
+            await until(lambda: node.app.proxy_listeners[0].open_requests() == 0)
             assert await stream.code() is grpc.StatusCode.DEADLINE_EXCEEDED
 
     run_async(check)
@@ -325,7 +327,7 @@
             proxy.upstream = upstream_waiting_for(release)
             first = asyncio.ensure_future(proxy.ask("GET", "/balance/1"))
             await until(lambda: node.forwarded)
-            listener = node.app.processors[0]
+            listener = node.app.proxy_listeners[0]
             with patch.object(listener, "load_now", return_value={}):  # the periodic log line resets counts
                 second = asyncio.ensure_future(proxy.ask("GET", "/balance/2"))
                 await until(lambda: len(node.forwarded) == 2)
