--- a/shelfhaven/operator_config/mapping.py
+++ b/shelfhaven/operator_config/mapping.py
@@ -1,4 +1,4 @@
-"""The node `mapping` of the operator's file: how requests of gateways and proxies are read."""
+"""Reads the node `mapping`: how requests of gateways and proxies are mapped to classes and attributes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     choice,
     integer,
     most_similar,
-    positive_time,
+    positive_duration,
     request_path,
     size,
     text,
@@ -20,14 +20,14 @@
 from shelfhaven.routing.path_pattern import PathPattern, Route
 from shelfhaven.routing.request_mapping import AttributeSource, MappingSettings
 
-TIME_UNITS = {"ms": 0.001, "s": 1.0}  # seconds
-MAX_CALLERS_BOUND = 100_000  # names of callers that may be remembered
+TIME_UNITS = {"ms": 0.001, "s": 1.0}  # each unit in seconds
+MAX_CALLERS_BOUND = 100_000  # upper bound of the setting `most` of the node `caller`
 BYTES_PER_KB = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class _CallerSettings:
-    """How callers are told apart, how many are remembered, and for how many seconds after a request."""
+    """How callers are identified, and how many are remembered; `idle_time`: seconds without a request."""
 
     source: AttributeSource
     max_callers: int
@@ -36,14 +36,14 @@
 
 def read_mapping(mapping: ConfigNode, config: Config) -> MappingSettings:
     """Read a node `mapping`. Raises ConfigError."""
-    name = mapping.name("mapping's name")
+    name = mapping.take_name("mapping's name")
     routes = _read_routes(mapping, config.classes)
     default = MappingSettings(name, tuple(routes))
     callers = _read_callers(mapping, default)
     extra_variables = _read_extra_variables(mapping)
     tenant = _read_source(mapping, "tenant", default.tenant)
     if tenant.default and config.tenants and tenant.default not in config.tenants:
-        raise mapping.error("tenant > default", f"{tenant.default!r} is no tenant")
+        raise mapping.error("tenant > default", f"{tenant.default!r} is not a configured tenant")
     return replace(
         default,
         idempotent_classes=_idempotent_classes(config),
@@ -64,7 +64,7 @@
 
 
 def _idempotent_classes(config: Config) -> frozenset[int]:
-    """The classes whose requests carry an idempotency key, by index."""
+    """Return the indexes of the classes whose requests carry an idempotency key."""
     return frozenset(
         index
         for index, settings in enumerate(config.settings.classes)
@@ -73,26 +73,26 @@
 
 
 def _read_routes(mapping: ConfigNode, classes: Sequence[str]) -> list[Route]:
-    """The routes in the file's order, none of which hides a later one."""
+    """Read the routes in file order and check that no route shadows a later one."""
     routes: list[Route] = []
     for node in mapping.children("route"):
         route = _read_route(node, classes)
         for earlier in routes:
             if earlier.shadows(route):
-                raise node.error("path", f"never reached: {earlier.pattern.text} before it takes all of it")
+                raise node.error("path", f"unreachable: shadowed by the earlier route {earlier.pattern.text}")
         routes.append(route)
     if not routes:
-        raise mapping.error("route", "missing: nothing would be served")
+        raise mapping.error("route", "missing: no request would be accepted")
     return routes
 
 
 def _read_route(node: ConfigNode, classes: Sequence[str]) -> Route:
-    """The node `route`: its class, path pattern and methods; without methods all of them."""
-    class_name = node.name("class")
+    """Read a node `route`: its class, path pattern and methods; without methods it matches all of them."""
+    class_name = node.take_name("class")
     if class_name not in classes:
         similar = most_similar(class_name, classes)
-        hint = f"; the nearest is {similar}" if similar else ""
-        raise node.error("", f"no class of this name{hint}")
+        hint = f'; did you mean "{similar}"?' if similar else ""
+        raise node.error("", f"no class with this name{hint}")
     methods = node.take("method", text, "")
     try:
         pattern = PathPattern(node.take("path", request_path, None))
@@ -102,43 +102,43 @@
 
 
 def _read_callers(mapping: ConfigNode, default: MappingSettings) -> _CallerSettings:
-    """The settings of the node `caller`; the defaults without it."""
+    """Read the node `caller`; returns the defaults if there is none."""
     node = mapping.child("caller")
     if node is None:
         return _CallerSettings(default.caller, default.max_callers, default.caller_idle_time)
     return _CallerSettings(
         AttributeSource(node.take("variable", text, "")),
         node.take("most", integer(1, MAX_CALLERS_BOUND), default.max_callers),
-        node.take("idle", positive_time, default.caller_idle_time),
+        node.take("idle", positive_duration, default.caller_idle_time),
     )
 
 
 def _read_extra_variables(mapping: ConfigNode) -> tuple[str, ...]:
-    """The arguments of the node `pass`, all of which are taken."""
+    """Read the node `pass`, whose arguments are names of variables."""
     node = mapping.child("pass")
     if node is None:
         return ()
     names = tuple(text(raw) for raw in node.args)
-    node.args = []
+    node.args = []  # marks them as read for `reject_unknown`
     return names
 
 
-def _read_source(mapping: ConfigNode, name: str, given: AttributeSource) -> AttributeSource:
-    """Where a text or a plain number comes from."""
+def _read_source(mapping: ConfigNode, name: str, default_source: AttributeSource) -> AttributeSource:
+    """Read the node that names the source of a string or of a number without a unit."""
     node = mapping.child(name)
     if node is None:
-        mapping.record_origin(name, given.variable or "none", "default")
-        return given
-    variable = node.take("variable", text, given.variable)
-    return AttributeSource(variable, node.take("default", text, given.default), given.scale)
+        mapping.record_origin(name, default_source.variable or "none", "default")
+        return default_source
+    variable = node.take("variable", text, default_source.variable)
+    return AttributeSource(variable, node.take("default", text, default_source.default), default_source.scale)
 
 
-def _read_time_source(mapping: ConfigNode, name: str, given: AttributeSource) -> AttributeSource:
-    """Where a time comes from, and in which unit."""
+def _read_time_source(mapping: ConfigNode, name: str, default_source: AttributeSource) -> AttributeSource:
+    """Read the node that names the source of a time, and the time's unit."""
     node = mapping.child(name)
     if node is None:
-        mapping.record_origin(name, given.variable or "none", "default")
-        return given
-    scale = node.take("unit", choice(TIME_UNITS), given.scale)
-    variable = node.take("variable", text, given.variable)
-    return AttributeSource(variable, node.take("default", text, given.default), scale)
+        mapping.record_origin(name, default_source.variable or "none", "default")
+        return default_source
+    scale = node.take("unit", choice(TIME_UNITS), default_source.scale)
+    variable = node.take("variable", text, default_source.variable)
+    return AttributeSource(variable, node.take("default", text, default_source.default), scale)
--- a/shelfhaven/operator_config/node.py
+++ b/shelfhaven/operator_config/node.py
@@ -1,6 +1,6 @@
-"""The nodes `node` and `work`: a node's identity and limits, and the classes that it serves.
+"""Reads the nodes `node` and `work`: a node's identity and limits, its classes and its tenants.
 
-Read only where no platform's configuration gives them.
+They are read only without a platform configuration, which otherwise provides these settings.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
     duration,
     integer,
     number,
-    positive_time,
+    positive_duration,
     size,
     text,
-    unique,
+    unique_by_name,
 )
 
 RETRY_SAFETY = {
@@ -41,12 +41,12 @@
     "window": LoadAdvertisement.WINDOW,
     "weight": LoadAdvertisement.WEIGHT,
 }
-GAUGES = ("cpu_busy", "runs_room")  # that pools report
-RANDOM_SEED = "drawn at each start"  # shown as the seed's value where the file gives none
+GAUGES = ("cpu_busy", "runs_room")  # gauges that pools report
+RANDOM_SEED = "drawn at each start"  # displayed if the file gives no seed
 SEED_BITS = 64
-TICK = 0.01  # seconds by which a timer may fire late; no platform gives another
-KEY_KB = 0.5  # of the module's memory, for an entry of the key table
-MIN_PRIORITY_WEIGHT = 1e-9  # the least that is above 0 for all purposes
+TICK = 0.01  # seconds by which a timer may fire late; a platform would provide its own value
+KEY_KB = 0.5  # memory of one entry of the idempotency key table
+MIN_PRIORITY_WEIGHT = 1e-9  # stands for "greater than 0", as bounds of numbers are inclusive
 MIN_DESCRIPTORS = 16
 BYTES_PER_KB = 1 << 10
 BYTES_PER_MB = 1 << 20
@@ -55,35 +55,35 @@
 
 
 class _StandaloneNodes(NamedTuple):
-    """The two nodes that configure a node without a platform."""
+    """The KDL nodes `node` and `work`."""
 
     node: ConfigNode
     work: ConfigNode
 
 
 class _ClassNode(NamedTuple):
-    """One node `class`."""
+    """The contents of a node `class`."""
 
     name: str
     settings: ClassSettings
 
 
 class _TenantNode(NamedTuple):
-    """One node `tenant`."""
+    """The contents of a node `tenant`."""
 
     name: str
     settings: TenantSettings
 
 
 def read_standalone(root: ConfigNode) -> Config:
-    """Read the node's own configuration, where no platform gives it. Raises ConfigError."""
+    """Read the node's basic configuration, as used without a platform. Raises ConfigError."""
     node, work = _required_nodes(root)
-    name = node.name("node's name")
+    name = node.take_name("node's name")
     seed = _read_seed(node)
-    classes = unique(map(_read_class, work.children("class")), work, "class")
+    classes = unique_by_name(map(_read_class, work.children("class")), work, "class")
     if not classes:
-        raise work.error("class", "missing: nothing would be served")
-    tenants = unique(map(_read_tenant, work.children("tenant")), work, "tenant")
+        raise work.error("class", "missing: the node would accept no requests")
+    tenants = unique_by_name(map(_read_tenant, work.children("tenant")), work, "tenant")
     settings = _read_settings(work, classes.values(), tenants.values())
     return Config(
         name=name,
@@ -92,7 +92,7 @@
         members=None,
         ledger=None,
         seed=seed,
-        stop=node.take("stop", positive_time, 5.0),
+        stop=node.take("stop", positive_duration, 5.0),
         limits=_read_limits(node),
         settings=settings,
         classes=tuple(classes),
@@ -102,37 +102,37 @@
 
 
 def _required_nodes(root: ConfigNode) -> _StandaloneNodes:
-    """The nodes `node` and `work`, both of which are required."""
+    """Return the nodes `node` and `work`, both of which are required."""
     node = root.child("node")
     work = root.child("work")
     if node is None or work is None:
         missing = "node" if node is None else "work"
-        raise root.error(missing, "missing: without a platform's configuration the file has to tell it")
+        raise root.error(missing, "missing: required without a platform configuration")
     return _StandaloneNodes(node, work)
 
 
 def _read_seed(node: ConfigNode) -> int:
-    # random at each start: nodes with one seed would choose alike, and crowd the same servers
-    given = node.take("seed", text, RANDOM_SEED)
-    if given == RANDOM_SEED:
+    # Random by default: nodes with the same seed would make the same choices and overload the same servers.
+    seed = node.take("seed", text, RANDOM_SEED)
+    if seed == RANDOM_SEED:
         return secrets.randbits(SEED_BITS)
     try:
-        return int(given, 16) & (1 << SEED_BITS) - 1
+        return int(seed, 16) & (1 << SEED_BITS) - 1
     except ValueError:
-        raise node.error("seed", "not a number in hex") from None
+        raise node.error("seed", "not a hexadecimal number") from None
 
 
 def _read_class(node: ConfigNode) -> _ClassNode:
-    """A class of requests: its name and its settings."""
-    name = node.name("class's name")
-    deadline = node.take("deadline", positive_time, None)
-    latency_objective = node.take("aim", positive_time, deadline)
+    """Read a node `class`."""
+    name = node.take_name("class's name")
+    deadline = node.take("deadline", positive_duration, None)
+    latency_objective = node.take("aim", positive_duration, deadline)
     if latency_objective > deadline:
-        raise node.error("aim", "is later than the deadline")
+        raise node.error("aim", "is longer than the deadline")
     retry_safety = node.take("repeat", choice(RETRY_SAFETY), RetrySafety.NOT_IDEMPOTENT)
     key_ttl = node.take("window", duration, 0.0)
     if (retry_safety is RetrySafety.IDEMPOTENCY_KEY) != (key_ttl > 0):
-        raise node.error("window", 'a class with repeat "keyed" needs one, no other has one')
+        raise node.error("window", 'required if repeat is "keyed", not allowed otherwise')
     settings = ClassSettings(
         latency_objective=latency_objective,
         deadline=deadline,
@@ -145,8 +145,8 @@
 
 
 def _read_tenant(node: ConfigNode) -> _TenantNode:
-    """A tenant: its name and its quotas."""
-    name = node.name("tenant's name")
+    """Read a node `tenant`."""
+    name = node.take_name("tenant's name")
     quota = node.take("quota", number(), 0.0)
     share = node.take("share", number(0, 1), 0.0)
     return _TenantNode(name, TenantSettings(quota, share))
@@ -157,7 +157,7 @@
     classes: Iterable[_ClassNode],
     tenants: Iterable[_TenantNode],
 ) -> Settings:
-    """The settings of the decision core, from the node `work`."""
+    """Read the settings of the decision core from the node `work`."""
     return Settings(
         cores=work.take("at-once", integer(1), None),
         memory_kb=work.take("memory", size, DEFAULT_WORK_MEMORY) / BYTES_PER_KB,
@@ -175,14 +175,14 @@
         passes_deadline=True,
         notifies_cancellation=True,
         marks_retries=True,
-        max_retry_after=work.take("advice-most", positive_time, 10.0),
+        max_retry_after=work.take("advice-most", positive_duration, 10.0),
         load_advertisement=work.take("advert", choice(LOAD_ADVERTISEMENTS), LoadAdvertisement.NONE),
         gauges=GAUGES,
     )
 
 
 def _read_limits(node: ConfigNode) -> Limits:
-    """The resources that the process may use, from the node `node`."""
+    """Read the resource limits of the process from the node `node`."""
     return Limits(
         cores=node.take("cores", number(0.01), 1.0),
         memory_mb=node.take("memory", size, DEFAULT_PROCESS_MEMORY) / BYTES_PER_MB,
--- a/shelfhaven/operator_config/pool.py
+++ b/shelfhaven/operator_config/pool.py
@@ -1,4 +1,4 @@
-"""The node `pool` of the operator's file: backends that run requests."""
+"""Reads the node `pool`: a group of uwsgi backends that run requests."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     duration,
     integer,
     number,
-    positive_time,
+    positive_duration,
     request_path,
     size,
     socket_address,
@@ -25,12 +25,12 @@
 
 DEFAULT_METHOD = "POST"
 DEFAULT_MAX_RESULT_BYTES = 1 << 20
-MAX_ATTEMPTS_BOUND = 10  # of one run: more would outlast any caller
+MAX_ATTEMPTS_BOUND = 10  # attempts of one run; more would take longer than any caller waits
 
 
 @dataclass(frozen=True, slots=True)
 class RunTarget:
-    """HTTP method and path of a run whose frontend gave none."""
+    """HTTP method and path for runs whose frontend provides none."""
 
     method: str
     path: str
@@ -38,17 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolConfig:
-    """One pool of uwsgi backends.
+    """A pool of uwsgi backends.
 
     Attributes:
-        name: its name in the file.
-        servers: addresses of its backends by their text in the file.
-        runs: method and path by class, for the classes that the pool runs.
-        settings: how it balances, retries and ejects.
-        max_result_bytes: largest answer that is read.
-        from_list: whether the endpoint list names its backends; those of the file count until it does.
-        slow_start: how a start of the node spares the backends; None where it does not.
-        zones: zones of backends, where the file gives them.
+        name: the pool's name in the file.
+        servers: addresses of the backends, by their text in the file.
+        runs: HTTP method and path of each class that the pool runs, by the class's name.
+        settings: settings of load balancing, retries and ejection.
+        max_result_bytes: maximum size of an answer.
+        from_list: whether the backends come from the endpoint list; until it is known, the file's are used.
+        slow_start: settings of the node's slow start towards the backends; None without slow start.
+        zones: zones of the backends for which the file gives one, by the address's text in the file.
     """
 
     name: str
@@ -62,22 +62,22 @@
 
 
 class _Servers(NamedTuple):
-    """The nodes `server` of a pool, by their addresses' text."""
+    """The contents of a pool's nodes `server`, by the addresses' text."""
 
     addresses: dict[str, SocketAddress]
-    zones: dict[str, str]  # of those that give one
+    zones: dict[str, str]  # only of servers with a zone
 
 
 def read_pool(node: ConfigNode, config: Config) -> PoolConfig:
     """Read a node `pool`. Raises ConfigError."""
-    name = node.name("pool's name")
+    name = node.take_name("pool's name")
     server_nodes = node.children("server")
     servers = _read_servers(node, server_nodes)
     from_list = node.take("from-list", boolean, False)
     if not servers.addresses and not from_list:
         raise node.error("server", "missing")
     if len(servers.addresses) < len(server_nodes):
-        raise node.error("server", "one is there twice")
+        raise node.error("server", "an address is given more than once")
     return PoolConfig(
         name=name,
         servers=servers.addresses,
@@ -91,7 +91,7 @@
 
 
 def _read_servers(pool_node: ConfigNode, server_nodes: Sequence[ConfigNode]) -> _Servers:
-    """Addresses by their text, and zones where they are given."""
+    """Read the addresses and zones of the nodes `server`."""
     servers = _Servers({}, {})
     for node in server_nodes:
         address = str(node.args.pop(0)) if node.args else ""
@@ -106,23 +106,23 @@
 
 
 def _read_runs(pool_node: ConfigNode, config: Config) -> dict[str, RunTarget]:
-    """How each class is run that the nodes `runs` name."""
+    """Read the nodes `runs`: the classes that the pool runs, with HTTP method and path."""
     runs: dict[str, RunTarget] = {}
     for node in pool_node.children("runs"):
-        class_name = node.name("class")
+        class_name = node.take_name("class")
         if class_name not in config.classes:
-            raise node.error("", "no class of this name")
+            raise node.error("", "no class with this name")
         if class_name in runs:
-            raise node.error("", "is there twice")
+            raise node.error("", "is given more than once")
         method = node.take("method", text, DEFAULT_METHOD)
         runs[class_name] = RunTarget(method, node.take("path", request_path, f"/{class_name}"))
     if not runs:
-        raise pool_node.error("runs", "missing: no class would be run here")
+        raise pool_node.error("runs", "missing: the pool would run no class")
     return runs
 
 
 def _read_settings(node: ConfigNode) -> PoolSettings:
-    """How the pool balances, retries and ejects; the order is that in which operators see the values."""
+    """Read the settings of the pool; `check-config --explain` lists the values in the order of reading."""
     settings = _with_limit(PoolSettings(), node.child_or_empty("limit"))
     settings = _with_ejection(settings, node.child_or_empty("eject"))
     settings = _with_attempts(settings, node.child_or_empty("tries"))
@@ -154,8 +154,8 @@
         ejection_failures=node.take("failures", integer(1), settings.ejection_failures),
         ejection_latency_ratio=node.take("slow", number(1.1), settings.ejection_latency_ratio),
         max_ejected_fraction=node.take("part", number(0, 1), settings.max_ejected_fraction),
-        base_ejection_time=node.take("first", positive_time, settings.base_ejection_time),
-        max_ejection_time=node.take("most", positive_time, settings.max_ejection_time),
+        base_ejection_time=node.take("first", positive_duration, settings.base_ejection_time),
+        max_ejection_time=node.take("most", positive_duration, settings.max_ejection_time),
     )
 
 
@@ -183,7 +183,7 @@
         return None
     default = SlowStartSettings()
     return SlowStartSettings(
-        window=node.take("rise", positive_time, default.window),
+        window=node.take("rise", positive_duration, default.window),
         cold_fleet_stretch=node.take("stretch", number(), default.cold_fleet_stretch),
         backend_concurrency=node.take("bears", number(0.01), None),
         backend_connection_rate=node.take("connects", number(0.01), default.backend_connection_rate),
--- a/shelfhaven/operator_config/reader.py
+++ b/shelfhaven/operator_config/reader.py
@@ -1,8 +1,9 @@
-"""The reader and checker of the operator's file, shared by the schemas of all subsystems.
+"""Typed, validating access to the KDL nodes of the operator's file.
 
-Turns KDL nodes into typed values and records where each value comes from. It knows no name of the schema: the
-modules beside it do. An invalid value raises ConfigError with the file, the node and the property; for an
-unknown name the message suggests the most similar known one.
+Converts raw values to typed ones and records the origin of each. The names of nodes and properties are
+defined by the other modules of this package, each of which reads the nodes of one subsystem. An invalid value
+raises ConfigError with the file, the node and the property; for an unknown name the message suggests the most
+similar known one.
 """
 
 from __future__ import annotations
@@ -22,26 +23,26 @@
 
 
 class Named(Protocol):
-    """What has a name in the file."""
+    """A value that was read from a named node."""
 
     @property
     def name(self) -> str:
-        """Its name, the first argument of its node."""
+        """The first argument of the node."""
 
 
 T = TypeVar("T")
 NamedT = TypeVar("NamedT", bound=Named)
-SocketAddress = Address | Path  # of a socket: TCP address, or path of a Unix socket
+SocketAddress = Address | Path  # TCP address, or path of a Unix socket
 
-SIMILARITY_CUTOFF = 0.4  # of a name that a message suggests; difflib's ratio, 1 is equal
+SIMILARITY_CUTOFF = 0.4  # minimum difflib ratio of a suggested name; 1 means equal
 MAX_DURATION = 1e6  # seconds
-MAX_SOCKET_PATH = 100  # characters; Linux takes 107 bytes
+MAX_SOCKET_PATH = 100  # characters; Linux allows 107 bytes
 UNIX_PREFIX = "unix:"
 
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """One value in force and where it comes from."""
+    """A value in effect and its origin: the file's name, `default`, `platform`, or why it was not read."""
 
     path: str
     value: str
@@ -49,7 +50,7 @@
 
 
 class ConfigNode:
-    """One node of the file: its values are taken by name, and a value nobody takes is an error."""
+    """Reads the values of a KDL node by name; `reject_unknown` reports those that were never requested."""
 
     def __init__(self, node: Node, path: str, origins: list[Origin], file: str) -> None:
         self.path = path
@@ -57,72 +58,75 @@
         self.args: list[object] = list(node.args)
         self._properties: dict[str, object] = dict(node.props)
         self._nodes: list[Node] = list(node.nodes)
-        self._origins = origins  # of the whole file, shared by all its nodes
+        self._origins = origins  # shared by all nodes of the file
         self._known_names: set[str] = set()
         self._children: list[ConfigNode] = []
 
-    def error(self, name: str, text: str) -> ConfigError:
-        """The error to raise for this node, or for its property or child of that name."""
+    def error(self, name: str, message: str) -> ConfigError:
+        """Return an error about the property or child `name`, or about this node if `name` is empty."""
         key = " ".join(filter(None, (self.path, name)))
-        return ConfigError(text, key=key, file=self.file)
+        return ConfigError(message, key=key, file=self.file)
 
-    def name(self, what: str) -> str:
-        """Take the node's own name, its first argument."""
+    def take_name(self, what: str) -> str:
+        """Read and consume the node's first argument, its name; `what` describes it in error messages."""
         if not self.args or not isinstance(self.args[0], str) or not NAME.match(self.args[0]):
-            raise self.error("", f"the {what} is missing or not one printable word")
+            raise self.error("", f"the {what} is missing or is not a single printable word")
         return str(self.args.pop(0))
 
     def children(self, name: str) -> list[ConfigNode]:
-        """The child nodes of that name, in the file's order."""
+        """Return the child nodes with this name in file order."""
         self._known_names.add(name)
-        found = [node for node in self._nodes if node.name == name]
-        if len(found) > MAX_ITEMS:
-            raise self.error(name, "too many")
-        children = [self._child_of(node) for node in found]
+        matches = [node for node in self._nodes if node.name == name]
+        if len(matches) > MAX_ITEMS:
+            raise self.error(name, "too many nodes with this name")
+        children = [self._wrap_child(node) for node in matches]
         self._children += children
         return children
 
-    def _child_of(self, node: Node) -> ConfigNode:
+    def _wrap_child(self, node: Node) -> ConfigNode:
         label = f' "{node.args[0]}"' if node.args and isinstance(node.args[0], str) else ""
         path = f"{self.path} > {node.name}{label}".removeprefix(" > ")
         return ConfigNode(node, path, self._origins, self.file)
 
     def child(self, name: str) -> ConfigNode | None:
-        """The only child node of that name; None without it."""
-        found = self.children(name)
-        if len(found) > 1:
-            raise self.error(name, "is there twice")
-        return found[0] if found else None
+        """Return the only child node with this name, or None if there is none."""
+        matches = self.children(name)
+        if len(matches) > 1:
+            raise self.error(name, "is given more than once")
+        return matches[0] if matches else None
 
     def child_or_empty(self, name: str) -> ConfigNode:
-        """The only child node of that name; without it an empty one, of which every value is the default."""
-        return self.child(name) or self._child_of(Node(name))
+        """Return the only child node with this name, or an empty node, whose values are all defaults."""
+        return self.child(name) or self._wrap_child(Node(name))
 
     def skip_children(self, name: str, reason: str) -> None:
-        """Leave the child nodes of that name unread and unchecked, and record why."""
+        """Exclude the child nodes with this name from all checks and record the reason as their origin."""
         for child in self.children(name):
             child.record_origin("", "not read", reason)
             self._children.remove(child)
 
-    def raw(self, name: str) -> object:
-        """An unchecked value: a property (`aim="2s"`) or a child node (`aim "2s"`); None without it."""
+    def raw_value(self, name: str) -> object:
+        """Return an unvalidated value, given as a property (`aim="2s"`) or as a child node (`aim "2s"`).
+
+        Returns None if the value is not given.
+        """
         self._known_names.add(name)
-        found = [node for node in self._nodes if node.name == name]
+        matches = [node for node in self._nodes if node.name == name]
         is_property = name in self._properties
-        if len(found) > 1 or (found and is_property):
-            raise self.error(name, "is there twice")
+        if len(matches) > 1 or (matches and is_property):
+            raise self.error(name, "is given more than once")
         if is_property:
             return self._properties[name]
-        if not found:
+        if not matches:
             return None
-        if len(found[0].args) != 1 or found[0].props or found[0].nodes:
-            raise self.error(name, "takes one value")
-        values: list[object] = found[0].args
+        if len(matches[0].args) != 1 or matches[0].props or matches[0].nodes:
+            raise self.error(name, "takes exactly one value")
+        values: list[object] = matches[0].args
         return values[0]
 
     def take(self, name: str, read: Callable[[object], T], default: T | None) -> T:
-        """A value by name, read and checked; a value without a default is required."""
-        raw = self.raw(name)
+        """Return the value with this name, converted by `read`; it is required if `default` is None."""
+        raw = self.raw_value(name)
         if raw is None:
             if default is None:
                 raise self.error(name, "missing")
@@ -136,42 +140,42 @@
         return value
 
     def record_origin(self, name: str, value: object, origin: str) -> None:
-        """Record where a value comes from."""
+        """Record a value in effect and its origin."""
         path = " > ".join(filter(None, (self.path, name)))
-        shown = value.value if isinstance(value, Enum) else value
-        self._origins.append(Origin(path, str(shown), origin))
+        plain_value = value.value if isinstance(value, Enum) else value
+        self._origins.append(Origin(path, str(plain_value), origin))
 
-    def check_complete(self) -> None:
-        """Raise ConfigError for a value that nobody took, here or in the children."""
+    def reject_unknown(self) -> None:
+        """Raise ConfigError for an argument, property or child that was not read, here or in a child node."""
         if self.args:
-            raise self.error("", f"{self.args[0]!r} is a value that nothing asks for")
+            raise self.error("", f"unexpected argument {self.args[0]!r}")
         for name in [*self._properties, *(node.name for node in self._nodes)]:
             if name not in self._known_names:
                 similar = most_similar(name, sorted(self._known_names))
-                hint = f"; the nearest that is: {similar}" if similar else ""
-                raise self.error(name, f"not known here{hint}")
+                hint = f'; did you mean "{similar}"?' if similar else ""
+                raise self.error(name, f"unknown node or property{hint}")
         for child in self._children:
-            child.check_complete()
+            child.reject_unknown()
 
 
 def most_similar(name: str, known: Sequence[str]) -> str | None:
-    """The known name that a misspelt one most likely means; None if none is similar."""
-    found = difflib.get_close_matches(name, known, 1, SIMILARITY_CUTOFF)
-    return found[0] if found else None
+    """Return the known name that is most similar to a misspelt one, or None if none is similar enough."""
+    matches = difflib.get_close_matches(name, known, 1, SIMILARITY_CUTOFF)
+    return matches[0] if matches else None
 
 
-# Readers of values: each raises ValueError with what is wrong
+# Value readers for `ConfigNode.take`: each raises ValueError with a message about the value
 
 
 def text(raw: object) -> str:
-    """A text of one line."""
+    """Read a string without line breaks or other control characters."""
     if not isinstance(raw, str) or not raw.isprintable():
-        raise ValueError("not a text in quotes")
+        raise ValueError("not a quoted string of printable characters")
     return raw
 
 
 def request_path(raw: object) -> str:
-    """A path as a request has it."""
+    """Read the path of an HTTP request."""
     value = text(raw)
     if not value.startswith("/"):
         raise ValueError(f"{raw!r} does not begin with /")
@@ -179,21 +183,23 @@
 
 
 def boolean(raw: object) -> bool:
-    """true or false."""
+    """Read `true` or `false`."""
     if not isinstance(raw, bool):
         raise ValueError(f"{raw!r} is not true or false")
     return raw
 
 
 def number(min_value: float = 0.0, max_value: float = math.inf) -> Callable[[object], float]:
-    """A reader of finite numbers within bounds."""
+    """Return a reader of finite numbers within the bounds, inclusive."""
 
     def read(raw: object) -> float:
         if isinstance(raw, bool) or not isinstance(raw, int | float):
             raise ValueError(f"{raw!r} is not a number")
         if not math.isfinite(raw) or not min_value <= raw <= max_value:
             bound = (
-                f"from {min_value:g} up" if max_value == math.inf else f"from {min_value:g} to {max_value:g}"
+                f"of at least {min_value:g}"
+                if max_value == math.inf
+                else f"from {min_value:g} to {max_value:g}"
             )
             raise ValueError(f"{raw:g} is not a number {bound}")
         return float(raw)
@@ -202,41 +208,41 @@
 
 
 def integer(min_value: int = 0, max_value: int = 1 << 31) -> Callable[[object], int]:
-    """A reader of integers within bounds."""
+    """Return a reader of integers within the bounds, inclusive."""
     read_number = number(min_value, max_value)
 
     def read(raw: object) -> int:
         value = read_number(raw)
         if not value.is_integer():
-            raise ValueError(f"{raw} is not a whole number")
+            raise ValueError(f"{raw} is not an integer")
         return int(value)
 
     return read
 
 
 def duration(raw: object) -> float:
-    """A duration with its unit, in seconds."""
+    """Read a duration with a unit; returns seconds."""
     if not isinstance(raw, str) or raw.strip().replace(".", "").isdigit():
-        raise ValueError(f'{raw!r} is not a time with a unit, such as "2.2s" or "100ms"')
+        raise ValueError(f'{raw!r} is not a duration with a unit, such as "2.2s" or "100ms"')
     try:
         value = float(humanfriendly.parse_timespan(raw))
     except humanfriendly.InvalidTimespan:
-        raise ValueError(f'{raw!r} is not a time with a unit, such as "2.2s" or "100ms"') from None
+        raise ValueError(f'{raw!r} is not a duration with a unit, such as "2.2s" or "100ms"') from None
     if not 0 <= value < MAX_DURATION:
-        raise ValueError(f"{raw!r} is not a time from 0 to a million seconds")
+        raise ValueError(f"{raw!r} is not a duration from 0 to less than 1000000 seconds")
     return value
 
 
-def positive_time(raw: object) -> float:
-    """A duration above 0, in seconds."""
+def positive_duration(raw: object) -> float:
+    """Read a nonzero duration with a unit; returns seconds."""
     value = duration(raw)
     if value <= 0:
-        raise ValueError(f"{raw!r} is not above 0")
+        raise ValueError(f"{raw!r} is not greater than 0")
     return value
 
 
 def size(raw: object) -> int:
-    """A size with its unit, in bytes; 1 KB is 1024 of them."""
+    """Read a size with a unit, where 1 KB is 1024 bytes; returns bytes."""
     try:
         value = humanfriendly.parse_size(text(raw), binary=True)
     except (ValueError, humanfriendly.InvalidSize):
@@ -245,40 +251,40 @@
 
 
 def socket_address(raw: object) -> SocketAddress:
-    """`host:port` in numbers, or `unix:/path`."""
+    """Read `HOST:PORT`, where HOST is a numeric IPv4 address, or `unix:/PATH`."""
     value = text(raw)
     if not value.startswith(UNIX_PREFIX):
         return parse_address(value)
     path = Path(value.removeprefix(UNIX_PREFIX))
     if not path.is_absolute() or len(str(path)) > MAX_SOCKET_PATH:
-        raise ValueError(f"{raw!r} is not an absolute path of 100 characters at most")
+        raise ValueError(f"{raw!r} is not an absolute path of at most 100 characters")
     return path
 
 
-def choice(known: Mapping[str, T]) -> Callable[[object], T]:
-    """A reader of one of a few words, each of which stands for a value."""
+def choice(options: Mapping[str, T]) -> Callable[[object], T]:
+    """Return a reader of one of a set of words; it returns the value that the word maps to."""
 
     def read(raw: object) -> T:
-        if raw not in known:
-            raise ValueError(f"{raw!r} is none of {', '.join(known)}")
-        return known[str(raw)]
+        if raw not in options:
+            raise ValueError(f"{raw!r} is not one of {', '.join(options)}")
+        return options[str(raw)]
 
     return read
 
 
 def existing_file(raw: object) -> Path:
-    """The path of a file that exists."""
+    """Read the path of an existing file."""
     path = Path(text(raw))
     if not path.is_file():
-        raise ValueError(f"{raw!r} is no file")
+        raise ValueError(f"{raw!r} is not an existing file")
     return path
 
 
-def unique(found: Iterable[NamedT], parent: ConfigNode, what: str) -> dict[str, NamedT]:
-    """Values by their names; a name that occurs twice raises ConfigError."""
+def unique_by_name(values: Iterable[NamedT], parent: ConfigNode, node_name: str) -> dict[str, NamedT]:
+    """Index values by name. A duplicate name raises ConfigError about the child `node_name` of `parent`."""
     result: dict[str, NamedT] = {}
-    for value in found:
+    for value in values:
         if value.name in result:
-            raise parent.error(f'{what} "{value.name}"', "is there twice")
+            raise parent.error(f'{node_name} "{value.name}"', "is given more than once")
         result[value.name] = value
     return result
--- a/tests/operator_config/sources.py
+++ b/tests/operator_config/sources.py
@@ -1,4 +1,4 @@
-"""Texts of operator's files that the tests read, whole or with a change."""
+"""Valid operator's files for the tests; the functions return a file with `old` replaced by `new`."""
 
 from __future__ import annotations
 
--- a/tests/operator_config/test_operator_config.py
+++ b/tests/operator_config/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: what is in force, and messages that name file, node and property."""
+"""The whole operator's file: the values in effect, and error messages with file, node and property."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.operator_config.sources import VALID_FILE
 from tests.test_config import CONFIG
 
-SHIPPED = Path(__file__).parents[2] / "deploy" / "operator.kdl"
+SHIPPED_FILE = Path(__file__).parents[2] / "deploy" / "operator.kdl"
 
 
-def test_the_file_that_is_shipped_is_good_and_all_it_says_is_in_force() -> None:
-    loaded = operator_config.load(SHIPPED)
+def test_shipped_file_is_valid_and_its_values_are_in_effect() -> None:
+    loaded = operator_config.load(SHIPPED_FILE)
     operator = loaded.operator
     assert loaded.config.classes == ("balance", "topup")
     topup = loaded.config.settings.classes[1]
@@ -35,7 +35,7 @@
     assert operator.mappings["vendors"].idempotent_classes == {1}
 
 
-def test_values_may_stand_as_properties_or_below() -> None:
+def test_values_can_be_properties_or_child_nodes() -> None:
     for text in ('class "x" deadline="1s"', 'class "x" {\n deadline "1s"\n }'):
         changed = VALID_FILE.replace('class "balance" aim="500ms" deadline="1s" repeat="safe"', text)
         changed = changed.replace('"balance"', '"x"')
@@ -47,42 +47,46 @@
 @pytest.mark.parametrize(
     ("old", "new", "message"),
     [
-        ('stop="3s"', "stop=3", 'f: node "n1" stop: 3.0 is not a time with a unit'),
-        ('stop="3s"', 'stop="0s"', 'f: node "n1" stop: .0s. is not above 0'),
-        ('stop="3s"', 'sotp="3s"', 'f: node "n1" sotp: not known here; the nearest that is: stop'),
+        ('stop="3s"', "stop=3", 'f: node "n1" stop: 3.0 is not a duration with a unit'),
+        ('stop="3s"', 'stop="0s"', 'f: node "n1" stop: .0s. is not greater than 0'),
+        ('stop="3s"', 'sotp="3s"', 'f: node "n1" sotp: unknown node or property; did you mean "stop"'),
         ('node "n1"', "node", "f: node: the node's name is missing"),
         ('node "n1" stop="3s"', "", "f: node: missing"),
         ("at-once=4", "", "f: work at-once: missing"),
-        ("at-once=4", "at-once=2.5", "f: work at-once: 2.5 is not a whole number"),
+        ("at-once=4", "at-once=2.5", "f: work at-once: 2.5 is not an integer"),
         ("at-once=4", "at-once=0", "f: work at-once: 0 is not a number from 1"),
         ("at-once=4", 'at-once="4"', "f: work at-once: '4' is not a number"),
         ("at-once=4", 'at-once=4 memory="lots"', "f: work memory: 'lots' is not a size"),
         ("at-once=4", 'at-once=4 cold="yes"', "f: work cold: 'yes' is not true or false"),
-        ('aim="500ms"', 'aim="2s"', 'f: work > class "balance" aim: is later than the deadline'),
-        ('aim="500ms"', 'aim="soon"', "aim: 'soon' is not a time"),
+        ('aim="500ms"', 'aim="2s"', 'f: work > class "balance" aim: is longer than the deadline'),
+        ('aim="500ms"', 'aim="soon"', "aim: 'soon' is not a duration"),
         ('deadline="4s"', "", 'f: work > class "topup" deadline: missing'),
-        ('repeat="safe"', 'repeat="sure"', "repeat: 'sure' is none of safe, keyed, once"),
-        ('window="8s"', "", 'f: work > class "topup" window: a class with repeat "keyed" needs one'),
-        ('repeat="safe"', 'repeat="safe" window="1s"', "window: a class"),
-        ('class "balance"', 'class "topup"', 'f: work class "topup": is there twice'),
+        ('repeat="safe"', 'repeat="sure"', "repeat: 'sure' is not one of safe, keyed, once"),
+        ('window="8s"', "", 'f: work > class "topup" window: required if repeat is "keyed"'),
+        (
+            'repeat="safe"',
+            'repeat="safe" window="1s"',
+            'window: required if repeat is "keyed", not allowed otherwise',
+        ),
+        ('class "balance"', 'class "topup"', 'f: work class "topup": is given more than once'),
         ("share=0.6", "share=2", 'f: work > tenant "retail" share: 2 is not a number from 0 to 1'),
         (
             'route "topup" method',
             'route "topop" method',
-            'route "topop": no class of this name; the nearest is',
+            'route "topop": no class with this name; did you mean "topup"',
         ),
         ('path="/topup"', 'path="topup"', "path: 'topup' does not begin with /"),
         ('path="/balance/*"', 'path="/b*"', "path: \\* stands for a whole segment"),
         (
             'route "balance" path="/balance/*"',
             'route "balance" method="POST" path="/topup"',
-            "never reached: /topup",
+            "unreachable: shadowed by the earlier route /topup",
         ),
-        ('mapping="m"', 'mapping="n"', "f: listen \"g\" mapping: 'n' is no mapping"),
+        ('mapping="m"', 'mapping="n"', "f: listen \"g\" mapping: 'n' is not a mapping"),
         (
             'protocol="uwsgi"',
             'protocol="http"',
-            "protocol: 'http' is none of jsonrpc, uwsgi, extproc, subrequest",
+            "protocol: 'http' is not one of jsonrpc, uwsgi, extproc, subrequest",
         ),
         ('address="127.0.0.1:4101"', 'address="localhost:4101"', "address: not an address in numbers"),
         ('address="127.0.0.1:4101"', 'address="unix:run/x"', "not an absolute path"),
@@ -90,16 +94,16 @@
         (
             'mapping="m"',
             'mapping="m" kept=true',
-            'f: listen "g" kept: not known here; the nearest that is: keep',
+            'f: listen "g" kept: unknown node or property; did you mean "keep"',
         ),
         (
             'server "127.0.0.1:5101"',
             'server "unix:/run/vendor.sock"',
-            'f: pool "p" server: one is there twice',
+            'f: pool "p" server: an address is given more than once',
         ),
         ('server "127.0.0.1:5101"', "server", "not an address"),
-        ('runs "topup"\n', "", 'f: work > class "topup": no pool runs it, and no proxy'),
-        ('runs "topup"\n', 'runs "topup"\nruns "topup"\n', 'runs "topup": is there twice'),
+        ('runs "topup"\n', "", 'f: work > class "topup": neither a pool nor a proxy runs this class'),
+        ('runs "topup"\n', 'runs "topup"\nruns "topup"\n', 'runs "topup": is given more than once'),
         (
             'runs "topup"\n',
             'runs "topup"\nlimit first=99 most=9\n',
@@ -109,63 +113,63 @@
         (
             'runs "topup"\n',
             'runs "topup"\nejekt part=0.5\n',
-            "ejekt: not known here; the nearest that is: eject",
+            'ejekt: unknown node or property; did you mean "eject"',
         ),
-        ('runs "topup"\n', 'runs "topup" 5\n', "is a value that nothing asks for"),
-        ('runs "topup"\n', 'runs "topup"\nrise "1s"\nrise "2s"\n', "rise: is there twice"),
-        ('mapping "m" {', 'mapping "m" {\n tenant default="nobody"\n', "'nobody' is no tenant"),
+        ('runs "topup"\n', 'runs "topup" 5\n', "unexpected argument 5.0"),
+        ('runs "topup"\n', 'runs "topup"\nrise "1s"\nrise "2s"\n', "rise: is given more than once"),
+        ('mapping "m" {', 'mapping "m" {\n tenant default="nobody"\n', "'nobody' is not a configured tenant"),
         ('pool "p" {', 'pool "p" {\n "x', "f: 15:13 parse error"),
-        ('listen "g"', 'lisetn "g"', "f: lisetn: not known here; the nearest that is: listen"),
+        ('listen "g"', 'lisetn "g"', 'f: lisetn: unknown node or property; did you mean "listen"'),
     ],
 )
-def test_a_fault_names_file_node_and_property(old: str, new: str, message: str) -> None:
+def test_errors_name_file_node_and_property(old: str, new: str, message: str) -> None:
     assert old in VALID_FILE
     with pytest.raises(ConfigError, match=message):
         operator_config.parse(VALID_FILE.replace(old, new, 1), "f")
 
 
-def test_on_the_platform_its_configuration_prevails() -> None:
+def test_platform_configuration_takes_precedence() -> None:
     platform = config.parse_json(orjson.dumps(CONFIG))
     text = VALID_FILE.replace("balance", "look").replace("topup", "pay").replace('"retail"', '"other"')
     loaded = operator_config.parse(text, "f", platform)
     assert loaded.config is platform
     assert loaded.operator.mappings["m"].tenants == ("one",)
     origins = loaded.operator.origins
-    assert any(origin.path.startswith("node") and "prevails" in origin.origin for origin in origins)
-    with pytest.raises(ConfigError, match="no class of this name"):
+    assert any(origin.path.startswith("node") and "takes precedence" in origin.origin for origin in origins)
+    with pytest.raises(ConfigError, match="no class with this name"):
         operator_config.parse(VALID_FILE, "f", platform)
     same_address = text.replace("127.0.0.1:4101", CONFIG["listen"])
-    with pytest.raises(ConfigError, match="is there twice"):
+    with pytest.raises(ConfigError, match="is used by more than one listener"):
         operator_config.parse(same_address, "f", platform)
 
 
-def check(*options: str) -> Result:
+def _check_config(*options: str) -> Result:
     return CliRunner().invoke(main, ["check-config", *options], env={"GW_CONFIG": ""})
 
 
-def test_the_command_line_tells_what_is_in_force_and_what_is_wrong(tmp_path: Path) -> None:
+def test_check_config_prints_values_in_effect_and_errors(tmp_path: Path) -> None:
     path = tmp_path / "operator.kdl"
     path.write_text(VALID_FILE)
-    result = check("--operator", str(path), "--explain")
+    result = _check_config("--operator", str(path), "--explain")
     assert result.exit_code == 0
     assert f'work > class "topup" > window = 8s  ({path})' in result.output
     assert 'pool "p" > eject > slow = 4.0  (default)' in result.output
     path.write_text(VALID_FILE.replace("8s", "8"))
-    result = check("--operator", str(path))
+    result = _check_config("--operator", str(path))
     assert result.exit_code == 2
     assert f'{path}: work > class "topup" window' in result.output
-    result = check()
+    result = _check_config()
     assert result.exit_code == 2
     assert "neither" in result.output
 
 
-def test_both_kinds_of_address_are_read() -> None:
+def test_servers_have_tcp_or_unix_socket_addresses() -> None:
     operator = operator_config.parse(VALID_FILE, "f").operator
-    both = [Address("127.0.0.1", 5101), Path("/run/vendor.sock")]
-    assert list(operator.pools["p"].servers.values()) == both
+    addresses = [Address("127.0.0.1", 5101), Path("/run/vendor.sock")]
+    assert list(operator.pools["p"].servers.values()) == addresses
 
 
-def test_nodes_without_a_seed_do_not_choose_alike() -> None:
+def test_nodes_without_a_configured_seed_have_different_seeds() -> None:
     seeds = {operator_config.parse(VALID_FILE, "f").config.seed for _ in range(4)}
     assert len(seeds) == 4
     assert operator_config.parse(VALID_FILE.replace('stop="3s"', 'seed="1f"'), "f").config.seed == 0x1F
--- a/tests/operator_config/test_reader.py
+++ b/tests/operator_config/test_reader.py
@@ -1,4 +1,4 @@
-"""The reader of the operator's file: what is taken, recorded, and refused as left over."""
+"""Reading typed values from KDL nodes, recording their origins, and rejecting unknown names."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 def _read_pool(root: ConfigNode) -> None:
     for pool in root.children("pool"):
         pool.take("within", reader.number(), 3.0)
-    root.check_complete()
+    root.reject_unknown()
 
 
-def test_origins_of_given_values_and_of_defaults_are_recorded_in_order() -> None:
+def test_origins_are_recorded_in_the_order_of_reading() -> None:
     root, origins = _root('pool "p" within="2s"')
     (pool,) = root.children("pool")
-    assert pool.name("pool's name") == "p"
+    assert pool.take_name("pool's name") == "p"
     assert pool.take("within", reader.duration, 1.0) == 2.0
     assert pool.take("most", reader.integer(), 7) == 7
-    root.check_complete()
+    root.reject_unknown()
     assert origins == [
         Origin('pool "p" > within', "2s", "f.kdl"),
         Origin('pool "p" > most', "7", "default"),
@@ -41,36 +41,36 @@
 @pytest.mark.parametrize(
     ("source", "message"),
     [
-        ("pool withim=1", "not known here; the nearest that is: within"),
-        ("pool 1", "1.0 is a value that nothing asks for"),
-        ("pool within=1 { within 2; }", "is there twice"),
-        ("pool { within 1 2; }", "takes one value"),
-        ("pool within=-1", "-1 is not a number from 0 up"),
+        ("pool withim=1", 'unknown node or property; did you mean "within"'),
+        ("pool 1", "unexpected argument 1.0"),
+        ("pool within=1 { within 2; }", "is given more than once"),
+        ("pool { within 1 2; }", "takes exactly one value"),
+        ("pool within=-1", "-1 is not a number of at least 0"),
     ],
 )
-def test_a_value_that_nobody_can_take_is_an_error(source: str, message: str) -> None:
+def test_unexpected_and_invalid_values_are_rejected(source: str, message: str) -> None:
     root, _ = _root(source)
     with pytest.raises(ConfigError, match=message):
         _read_pool(root)
 
 
-def test_a_second_child_where_one_may_be_is_an_error() -> None:
+def test_duplicate_node_is_rejected() -> None:
     root, _ = _root("node; node")
-    with pytest.raises(ConfigError, match="is there twice"):
+    with pytest.raises(ConfigError, match="is given more than once"):
         root.child("node")
 
 
-def test_a_child_that_is_missing_reads_as_an_empty_one() -> None:
+def test_missing_child_is_read_as_an_empty_node() -> None:
     root, origins = _root("other")
     assert root.child("wait") is None
     assert root.child_or_empty("wait").take("most", reader.integer(), 7) == 7
     assert origins == [Origin("wait > most", "7", "default")]
 
 
-def test_skipped_children_are_not_checked_and_recorded_as_not_read() -> None:
+def test_skipped_children_are_unchecked_and_recorded_as_not_read() -> None:
     root, origins = _root('node "n" unknown=1')
     root.skip_children("node", "elsewhere")
-    root.check_complete()
+    root.reject_unknown()
     assert origins == [Origin('node "n"', "not read", "elsewhere")]
 
 
@@ -89,7 +89,7 @@
         (reader.choice({"on": 1}), "on", 1),
     ],
 )
-def test_values_are_read_with_their_types(
+def test_value_readers_return_typed_values(
     read: Callable[[object], object], raw: object, value: object
 ) -> None:
     assert read(raw) == value
@@ -107,7 +107,7 @@
         (reader.integer(), 1.5),
         (reader.duration, "3"),
         (reader.duration, 3),
-        (reader.positive_time, "0s"),
+        (reader.positive_duration, "0s"),
         (reader.size, "many"),
         (reader.socket_address, "unix:run/a.sock"),
         (reader.socket_address, "unix:/" + "a" * 100),
@@ -115,13 +115,13 @@
         (reader.existing_file, "/no/such/file"),
     ],
 )
-def test_values_of_a_wrong_kind_or_out_of_bounds_are_refused(
+def test_value_readers_reject_wrong_types_and_values_out_of_bounds(
     read: Callable[[object], object], raw: object
 ) -> None:
     with pytest.raises(ValueError, match=r"\w"):
         read(raw)
 
 
-def test_similar_names_are_suggested_and_others_are_not() -> None:
+def test_only_similar_names_are_suggested() -> None:
     assert reader.most_similar("balanc", ["topup", "balance"]) == "balance"
     assert reader.most_similar("zzz", ["topup", "balance"]) is None
