--- a/shelfhaven/operator_config/singleton_tasks.py
+++ b/shelfhaven/operator_config/singleton_tasks.py
@@ -109,7 +109,7 @@
     elector: ElectorSettings
     tasks: Mapping[str, TaskConfig]
 
-    def zones(self) -> dict[str, str]:
+    def zone_by_task(self) -> dict[str, str]:
         """Return the zone of each task by its name; "" stands for any zone."""
         return {name: task.zone for name, task in self.tasks.items()}
 
--- a/shelfhaven/program/singleton_tasks.py
+++ b/shelfhaven/program/singleton_tasks.py
@@ -91,7 +91,7 @@
     async def start(self) -> None:
         """Open the store and take part in elections."""
         environment = self._environment()
-        self.actor = ElectionActor(self.config.elector, self.config.zones(), environment)
+        self.actor = ElectionActor(self.config.elector, self.config.zone_by_task(), environment)
         if self.failover:
             self.failover.use_store(environment.store)
         self.core.keys.on_uncertain = self._outcome_unknown
@@ -147,7 +147,7 @@
             return ["duties"]
         store, store_before = config.store, self.config.store
         self.config = SingletonTasksConfig(store_before, config.elector, config.tasks)
-        self.actor.reconfigure(config.elector, self.config.zones())
+        self.actor.reconfigure(config.elector, self.config.zone_by_task())
         if store == store_before:
             return []
         if not _only_endpoints_differ(store, store_before):
--- a/shelfhaven/program/singleton_tasks_command.py
+++ b/shelfhaven/program/singleton_tasks_command.py
@@ -40,7 +40,7 @@
             (status,) = statuses
             if command == "take-away":
                 return await _change(store, administration.plan_disabling(status), confirmed)
-            rankings = rank_candidates(config.zones(), await _candidates(files, peer_rpc))
+            rankings = rank_candidates(config.zone_by_task(), await _candidates(files, peer_rpc))
             ranking = rankings.get(name, NO_CANDIDATES)
             if command == "show":
                 return CommandOutput(administration.format_detail(status, ranking))
--- a/tests/operator_config/test_singleton_tasks.py
+++ b/tests/operator_config/test_singleton_tasks.py
@@ -23,7 +23,7 @@
     assert elector.lease_duration == 8.0
     assert elector.safety_margin == 1.0
     assert elector.store_requests_per_second == 50.0
-    assert config.zones() == {"settle": "", "unclear": "", "list-a": "a"}
+    assert config.zone_by_task() == {"settle": "", "unclear": "", "list-a": "a"}
     send = config.tasks["settle"].send
     assert send
     assert send.batch_lines == 10
