--- a/shelfhaven/program/singleton_tasks.py
+++ b/shelfhaven/program/singleton_tasks.py
@@ -93,7 +93,7 @@
     async def start(self) -> None:
         """Open the consensus store and start taking part in elections."""
         environment = self._environment()
-        self.actor = ElectionActor(self.config.elector, self.config.zones(), environment)
+        self.actor = ElectionActor(self.config.elector, self.config.zone_by_task(), environment)
         if self.failover:
             self.failover.set_store(environment.store)
         self.core.keys.on_uncertain = self._add_unresolved_operation
@@ -152,7 +152,7 @@
             return ["duties"]
         new_store, old_store = config.store, self.config.store
         self.config = SingletonTasksConfig(old_store, config.elector, config.tasks)
-        self.actor.reconfigure(config.elector, self.config.zones())
+        self.actor.reconfigure(config.elector, self.config.zone_by_task())
         if new_store == old_store:
             return []
         if not _only_endpoints_differ(new_store, old_store):
