--- a/shelfhaven/lab/fault_links.py
+++ b/shelfhaven/lab/fault_links.py
@@ -1,12 +1,12 @@
-"""Network links between processes, each of which can be made to fail in its own ways.
+"""Network links between processes on loopback, with faults that can be set for each link.
 
-Contract: the gates own their sockets and apply the rules in force; a byte that they forward is never changed.
+A gate is a forwarding proxy in front of a listener. It applies the rule in force for the sender and the
+receiver, and never changes a byte that it forwards.
 
-Datagrams have gates of their own (`DatagramGate`), at the same port number as a node's gate for connections;
-they tell senders apart by the port that a node sends from.
-
-A service's gate knows the sender, as each node is given a gate of its own.  The gate in front of a node's
-peer listener is shared by all its peers, and tells them apart by the address in their first line.
+`Gate` forwards connections. Each node connects to a service through a gate of its own, which identifies the
+sender. All peers of a node share the gate in front of its peer listener, and are identified by the address in
+the first line that they send. `DatagramGate` forwards datagrams to a node, at the same port number as the
+node's `Gate`, and identifies a sender by its source port.
 """
 
 from __future__ import annotations
@@ -20,22 +20,23 @@
 
 HOST = "127.0.0.1"
 READ_SIZE = 1 << 16  # bytes
-LISTEN_BACKLOG = 512  # connections; a fleet's nodes connect at the same time
-SENDER_PATTERN = re.compile(rb"[?&]from=([^& ]+)")
+LISTEN_BACKLOG = 512  # connections; all nodes of a fleet may connect at the same time
+SENDER_PATTERN = re.compile(rb"[?&]from=([^& ]+)")  # in the request line of a peer
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """The faults of one direction of a link; all that are set apply together.
+    """The faults of one direction of a link; all faults that are set apply together.
 
     Attributes:
-        hole: bytes are dropped, and connections stay open.
+        hole: bytes are dropped silently, and connections stay open.
         reset: connections are reset.
-        shut: no connection can be opened in this direction; those of the other direction carry both.
-        delay: seconds by which each piece is delayed.
-        rate: bytes a second; 0 for any number.
-        loss: fraction of datagrams that are dropped.
-        jitter: largest random delay of a datagram in seconds, so that later ones overtake earlier ones.
+        shut: new connections from the sender are closed; connections opened by the receiver still work
+            in both directions.
+        delay: seconds by which each chunk or datagram is delayed.
+        rate: bytes per second; 0 means unlimited.
+        loss: fraction of datagrams that are dropped at random.
+        jitter: largest random delay of a datagram in seconds, which also reorders datagrams.
     """
 
     hole: bool = False
@@ -48,51 +49,51 @@
 
     @property
     def drops_everything(self) -> bool:
-        """Whether no datagram passes."""
+        """Whether every datagram is dropped."""
         return self.hole or self.reset or self.shut
 
 
-OPEN = Rule()
-HOLE = Rule(hole=True)
+NO_FAULTS = Rule()
+BLACKHOLE = Rule(hole=True)
 
 
 class Net:
-    """The rules of all links, by sender and receiver."""
+    """The gates of a test network, and the rules of its links by sender and receiver."""
 
     def __init__(self) -> None:
         self.rules: dict[tuple[str, str], Rule] = {}
         self.gates: list[Gate | DatagramGate] = []
 
     def rule(self, source: str, target: str) -> Rule:
-        """The rule in force for one direction."""
+        """Return the rule in force for one direction; an exact match takes precedence over `*`."""
         for pair in ((source, target), (source, "*"), ("*", target)):
             if pair in self.rules:
                 return self.rules[pair]
-        return OPEN
+        return NO_FAULTS
 
     def set(self, source: str, target: str, rule: Rule | None) -> None:
-        """Set the rule of one direction, or remove it with None; `*` stands for all senders or receivers."""
+        """Set the rule of one direction, or remove it with None; `*` matches all senders or all receivers."""
         if rule is None:
             self.rules.pop((source, target), None)
         else:
             self.rules[source, target] = rule
 
-    def cut(self, side: list[str], rest: list[str], rule: Rule | None = HOLE) -> None:
-        """Partition two groups from each other in both directions, or heal the partition with None."""
-        for one in side:
-            for other in rest:
-                self.set(one, other, rule)
-                self.set(other, one, rule)
+    def cut(self, side: list[str], other_side: list[str], rule: Rule | None = BLACKHOLE) -> None:
+        """Partition two groups from each other, or set another rule in both directions; None removes it."""
+        for name in side:
+            for other in other_side:
+                self.set(name, other, rule)
+                self.set(other, name, rule)
 
     async def gate(self, target: str, port: int, to_port: int, source: str = "") -> Gate:
-        """Open a gate to a service or node on `to_port`; without a source, peers identify themselves."""
+        """Open a gate to a service or node; without `source`, the first line identifies the sender."""
         gate = Gate(self, target, to_port, source)
         await gate.start(port)
         self.gates.append(gate)
         return gate
 
     async def datagrams(self, target: str, port: int, to_port: int, names: Callable[[int], str]) -> None:
-        """Open a gate for datagrams to a node; `names` gives the sender that uses a port."""
+        """Open a gate for datagrams to a node; `names` returns the sender that uses a source port."""
         gate = DatagramGate(self, target, to_port, names)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: gate, local_addr=(HOST, port))
         self.gates.append(gate)
@@ -104,12 +105,12 @@
 
 
 class Gate:
-    """A listening address that forwards connections to another.
+    """A forwarding proxy for connections to one target.
 
     Attributes:
-        names: gives a peer's name by its address.
-        open: both ends of all open connections.
-        carried: bytes that were forwarded.
+        names: returns a peer's name by its address.
+        open: writers of both ends of all open connections.
+        carried: number of bytes that were forwarded.
     """
 
     def __init__(self, net: Net, target: str, to_port: int, source: str) -> None:
@@ -124,7 +125,7 @@
         self.carried = 0
 
     async def start(self, port: int) -> None:
-        """Listen; port 0 takes any."""
+        """Start listening; port 0 lets the system choose a port."""
         self.server = await asyncio.start_server(self._serve, HOST, port, backlog=LISTEN_BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -137,40 +138,40 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open.add(writer)
-        far: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            first = await reader.read(READ_SIZE)
-            source = self.source or self._sender(first)
+            first_bytes = await reader.read(READ_SIZE)
+            source = self.source or self._sender(first_bytes)
             rule = self.net.rule(source, self.target)
             if rule.reset or rule.shut:
                 return
-            back, far = await asyncio.open_connection(HOST, self.to_port)
-            self.open.add(far)
+            target_reader, target_writer = await asyncio.open_connection(HOST, self.to_port)
+            self.open.add(target_writer)
             await asyncio.gather(
-                self._pump(first, reader, far, source, self.target),
-                self._pump(b"", back, writer, self.target, source),
+                self._forward_direction(first_bytes, reader, target_writer, source, self.target),
+                self._forward_direction(b"", target_reader, writer, self.target, source),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            for end in (writer, far):
-                if end:
-                    self._end(end)
+            for open_writer in (writer, target_writer):
+                if open_writer:
+                    self._close(open_writer)
 
-    def _end(self, writer: asyncio.StreamWriter) -> None:
+    def _close(self, writer: asyncio.StreamWriter) -> None:
         self.open.discard(writer)
         if writer.is_closing():
             writer.transport.abort()
         else:
             writer.close()
 
-    def _sender(self, first: bytes) -> str:
-        """The name of the peer that sent these first bytes."""
-        found = SENDER_PATTERN.search(first.split(b"\r\n", 1)[0])
-        address = found.group(1).decode().replace("%3A", ":") if found else ""
+    def _sender(self, first_bytes: bytes) -> str:
+        """Return the name of the peer that sent these first bytes of a connection."""
+        match = SENDER_PATTERN.search(first_bytes.split(b"\r\n", 1)[0])
+        address = match.group(1).decode().replace("%3A", ":") if match else ""
         return self.names(address)
 
-    async def _pump(
+    async def _forward_direction(
         self,
         data: bytes,
         reader: asyncio.StreamReader,
@@ -178,7 +179,7 @@
         sender: str,
         receiver: str,
     ) -> None:
-        """Forward one direction of a connection, under the rule in force at each piece."""
+        """Forward one direction of a connection; each chunk is subject to the rule then in force."""
         while data or (data := await reader.read(READ_SIZE)):
             rule = self.net.rule(sender, receiver)
             if rule.reset:
@@ -197,10 +198,10 @@
 
 
 class DatagramGate(asyncio.DatagramProtocol):
-    """An address that forwards datagrams to another, which sees the gate as their sender.
+    """A forwarding proxy for datagrams to one target, which sees the gate as their sender.
 
     Attributes:
-        carried, lost: datagrams that were forwarded and dropped.
+        carried, lost: numbers of datagrams that were forwarded and dropped.
     """
 
     def __init__(self, net: Net, target: str, to_port: int, names: Callable[[int], str]) -> None:
@@ -214,7 +215,7 @@
         self.lost = 0
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
-        """Keep the transport to send on."""
+        """Store the transport, which also sends the forwarded datagrams."""
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
--- a/shelfhaven/lab/ports.py
+++ b/shelfhaven/lab/ports.py
@@ -1,9 +1,9 @@
-"""Loopback ports for listeners, each given to one process of the machine at a time.
+"""Reservation of loopback ports for listeners, each for one process of the machine at a time.
 
-A port that was checked and released belongs to nobody until its owner listens, and again while its owner
-restarts.  Ports are therefore reserved in blocks below the range from which the system takes the ports of
-outgoing connections, and a block belongs to the process that holds an abstract Unix socket named after it:
-the system frees it however that process ends.
+Checking that a port is free does not reserve it: another process may bind it before the intended owner
+listens, or while the owner restarts. Ports are therefore reserved in blocks below the ephemeral range, from
+which the kernel assigns ports to outgoing connections. A block belongs to the process that holds an abstract
+Unix socket named after it; the kernel releases that socket however the process ends.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 from shelfhaven.config import Address
 from shelfhaven.errors import ShelfhavenError
 
-FIRST_PORT = 12_000  # of the ports that are given; the last is below the system's own range
-BLOCK = 128  # ports that are reserved at once
+FIRST_PORT = 12_000  # of the ports that may be reserved; the last one is below the ephemeral range
+BLOCK = 128  # ports in a block
 HOST = "127.0.0.1"
 EPHEMERAL_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
 class NoFreePortError(ShelfhavenError):
-    """Every block belongs to another process, or all ports of the own blocks are in use."""
+    """All other blocks are reserved by other processes, and all ports of the own blocks are in use."""
 
 
 def _first_ephemeral_port() -> int:
-    """The first port that the system may give to outgoing connections."""
+    """Return the first port that the kernel may assign to outgoing connections."""
     return int(EPHEMERAL_RANGE_FILE.read_text().split()[0])
 
 
 class PortBlocks:
-    """The blocks that this process has reserved, and which of their ports comes next.
+    """The blocks of ports that this process has reserved.
 
     Attributes:
-        name: processes that share one never have a block in common.
+        name: prefix of the sockets' names; two processes with the same prefix never reserve the same block.
         first: the first port of all blocks.
-        end: the first port beyond them.
+        end: the first port after all blocks.
     """
 
     def __init__(
@@ -46,26 +46,26 @@
         self.first = first
         self.end = _first_ephemeral_port() if end is None else end
         self._reservations: list[socket.socket] = []
-        self._unused: list[int] = []  # the next one last
-        self._given: list[int] = []  # the one that was given longest ago first
+        self._unused: list[int] = []  # the next port is the last item
+        self._handed_out: list[int] = []  # the port handed out longest ago is the first item
 
     def take(self) -> int:
-        """A port that nobody listens on, and that no other process is given while this one runs.
+        """Return a port that is not in use; no other process gets it as long as this one runs.
 
         Raises:
-            NoFreePortError: there is none.
+            NoFreePortError: no port is free.
         """
         while self._unused or self._reserve_block():
             port = self._unused.pop()
-            self._given.append(port)
+            self._handed_out.append(port)
             if _is_free(port):
                 return port
-        for _ in range(len(self._given)):  # no block is left: reuse the own ports
-            port = self._given.pop(0)
-            self._given.append(port)
+        for _ in range(len(self._handed_out)):  # no block is left: reuse ports of the own blocks
+            port = self._handed_out.pop(0)
+            self._handed_out.append(port)
             if _is_free(port):
                 return port
-        raise NoFreePortError("no port is free")
+        raise NoFreePortError(f"no port from {self.first} to {self.end - 1} is free")
 
     def close(self) -> None:
         """Release all blocks."""
@@ -73,10 +73,10 @@
             reservation.close()
         self._reservations = []
         self._unused = []
-        self._given = []
+        self._handed_out = []
 
     def _reserve_block(self) -> bool:
-        """Reserve one more block; False if all are taken."""
+        """Reserve one more block; return False if all blocks are reserved."""
         for block in range(self.first, self.end - BLOCK + 1, BLOCK):
             reservation = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
             try:
@@ -91,11 +91,11 @@
 
 
 def _is_free(port: int) -> bool:
-    """Whether a port is bound neither for connections nor for datagrams."""
-    datagrams = socket.socket(type=socket.SOCK_DGRAM)
-    with socket.socket() as connections, datagrams, contextlib.suppress(OSError):
-        connections.bind((HOST, port))
-        datagrams.bind((HOST, port))
+    """Return whether neither a TCP nor a UDP socket is bound to a port."""
+    udp = socket.socket(type=socket.SOCK_DGRAM)
+    with socket.socket() as tcp, udp, contextlib.suppress(OSError):
+        tcp.bind((HOST, port))
+        udp.bind((HOST, port))
         return True
     return False
 
@@ -104,10 +104,10 @@
 
 
 def reserved_port() -> int:
-    """A loopback port for a listener of this process or of one that it starts, and for its restarts."""
+    """Reserve a loopback port for a listener of this process or of a child process, also across restarts."""
     return _blocks.take()
 
 
 def reserved_address() -> Address:
-    """A loopback address for a listener, as `reserved_port`."""
+    """Reserve a loopback address for a listener, like `reserved_port`."""
     return Address(HOST, reserved_port())
--- a/shelfhaven/lab/reservation_model.py
+++ b/shelfhaven/lab/reservation_model.py
@@ -1,19 +1,20 @@
-"""Exhaustive search of a model of reservations: late and lost messages, restarts and suspended processes.
+"""Exhaustive search of a model of key reservations with delayed and lost messages, restarts and suspensions.
 
-The model shares no code with what it models.
+The model shares no code with the implementation.
 
-There are three replicas, two claimants of one idempotency key, and one discrete clock that all of them share
-(the code accounts for clock drift by a factor on the reservation's time). A claimant sends its request to all
-replicas at once; each request and each vote arrives at any later moment or never. A replica may restart once,
-at any moment. A claimant may be suspended between its majority and its run, or give up and release its votes.
-The invariant is violated if runs of two claimants are less than the key's TTL apart.
+The model has three replicas, two claimants of one idempotency key, and one discrete clock that all of them
+share (the implementation allows for clock drift by a factor on the duration of a reservation). A claimant
+sends its request to all replicas at once; each request and each vote arrives at any later moment or never. A
+replica may restart once, at any moment. A claimant may be suspended between getting its majority and its run,
+or give up and release its votes. The invariant is violated if runs of two claimants are less than the key's
+TTL apart.
 
-Replicas are symmetric, so states that differ only in the replicas' order are equal: each replica's state
-includes the requests in flight to it, and the number of votes in flight to a claimant is enough.
+Replicas are symmetric, so states that differ only in the order of the replicas are equal. A replica's state
+includes the requests in flight to it; for a claimant, the number of votes in flight to it is enough.
 
 Vote transfer (`transfers=1`): one replica may shut down gracefully once. Its snapshot stays with another
-replica that does not fail; its next incarnation, which starts at once and is in quarantine like any, may
-fetch the snapshot at any moment. The restart may hit that replica as well, before or after.
+replica that does not fail; its next incarnation, which starts at once and in quarantine like any other,
+may fetch the snapshot at any moment. The restart may happen to the same replica, before or after that.
 """
 
 from __future__ import annotations
@@ -24,27 +25,27 @@
 from typing import NamedTuple, TypeAlias
 
 REPLICAS = 3
-NOBODY = -1  # the holder of a replica without a vote
-FIRST = 0  # index of a claimant
+NO_HOLDER = -1  # the holder at a replica that has granted no vote
+FIRST = 0  # index of the first claimant
 
-# Phases of a claimant. Plain integers: they are hashed millions of times.
+# Phases of a claimant; plain integers, because they are hashed millions of times.
 IDLE = 0
 REQUESTING = 1
 RAN = 2
 GAVE_UP = 3
-NEVER = 99  # ticks since a run that has not taken place
+NEVER = 99  # `since_run` of a claimant that has not run
 
 
 class ReplicaState(NamedTuple):
     """One replica; times in ticks."""
 
-    holder: int = NOBODY  # index of the claimant that has its vote
+    holder: int = NO_HOLDER  # index of the claimant to which it granted its vote
     reservation_left: int = 0
-    quarantine_left: int = 0  # it gives no vote
-    first_in_flight: bool = False  # a request of the first claimant is on its way here
+    quarantine_left: int = 0  # while it is positive, the replica grants no vote
+    first_in_flight: bool = False  # a request of the first claimant to this replica
     second_in_flight: bool = False
-    snapshot_left: int = 0  # ticks in which its snapshot may still be fetched; 0: there is none
-    snapshot_holder: int = NOBODY
+    snapshot_left: int = 0  # ticks for which its snapshot can still be fetched; 0 if there is none
+    snapshot_holder: int = NO_HOLDER
     snapshot_reservation_left: int = 0
 
 
@@ -63,7 +64,7 @@
 Claimants: TypeAlias = tuple[ClaimantState, ClaimantState]
 
 
-class World(NamedTuple):
+class ModelState(NamedTuple):
     """A state of the model."""
 
     replicas: Replicas
@@ -74,27 +75,27 @@
 
 
 class Step(NamedTuple):
-    """A step to a next state, and whether it violates the invariant."""
+    """A transition to a next state, and whether it violates the invariant."""
 
-    world: World
+    state: ModelState
     violation: bool = False
 
 
 class Mistake(Enum):
-    """A mistake that the search has to find; the values are what `main` prints."""
+    """A deliberate mistake in the model that the search must detect; `main` prints the values."""
 
     NONE = "none"
-    NO_QUARANTINE = "a replica that restarts votes at once"
+    NO_QUARANTINE = "a restarted replica votes without quarantine"
     MINORITY = "one vote is enough"
-    LATE_RUN = "a run starts however long ago the request was"
-    COUNTED_FROM_VOTE = "the time for the run counts from the last vote, not from the request"
-    SHORT_RESERVATION = "a replica's hold is shorter than the window and the time for the run"
-    TWO_VOTES = "a replica votes for whoever asks last"
-    RELEASE_AFTER_START = "a claimant that has started its run releases its votes"
-    SNAPSHOT_OF_LOST_VOTES = "a replica that has lost votes leaves a snapshot all the same"
-    VOTES_AFTER_SNAPSHOT = "a replica goes on voting after it has left its snapshot"
-    FETCHED_TWICE = "two incarnations may fetch one snapshot"
-    EXPIRED_SNAPSHOT = "a snapshot may be fetched however old it is"
+    LATE_RUN = "a run starts however old its request is"
+    COUNTED_FROM_VOTE = "the time to start a run is measured from the last vote, not from the request"
+    SHORT_RESERVATION = "a reservation is shorter than the key TTL plus the time to start a run"
+    TWO_VOTES = "a replica grants its vote to a second claimant"
+    RELEASE_AFTER_START = "a claimant releases its votes after it has started its run"
+    SNAPSHOT_OF_LOST_VOTES = "a replica that has lost votes still stores a snapshot"
+    VOTES_AFTER_SNAPSHOT = "a replica continues to vote after it has stored its snapshot"
+    FETCHED_TWICE = "two incarnations can fetch the same snapshot"
+    EXPIRED_SNAPSHOT = "a snapshot can be fetched after it has expired"
 
 
 TRANSFER_MISTAKES = (
@@ -107,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """The number of states and, if the invariant can be violated, the steps of one way to that."""
+    """The number of visited states and, if the invariant is violated, the number of steps until then."""
 
     states: int
     steps: int | None
@@ -123,45 +124,45 @@
     mistake: Mistake = Mistake.NONE
     key_ttl: int = 2
     reservation_ttl: int = 3
-    ticks: int = 3  # length of an execution
-    restarts: int = 1
-    transfers: int = 0
+    ticks: int = 3  # length of a history
+    restarts: int = 1  # at most
+    transfers: int = 0  # at most
 
     def search(self, max_states: int = 6_000_000) -> SearchResult:
-        """Visit every state, depth first, until a violation. Raises RuntimeError beyond `max_states`."""
+        """Visit all states depth first until a violation; raise RuntimeError for more than `max_states`."""
         replicas = (ReplicaState(),) * REPLICAS
         claimants = (ClaimantState(), ClaimantState())
-        start = World(replicas, claimants, 0, self.restarts, self.transfers)
+        start = ModelState(replicas, claimants, 0, self.restarts, self.transfers)
         visited = {start}
         stack = [(start, 0)]
         while stack:
-            world, depth = stack.pop()
-            for step in self._steps(world):
+            state, depth = stack.pop()
+            for step in self._steps(state):
                 if step.violation:
                     return SearchResult(len(visited), depth + 1)
-                if step.world not in visited:
-                    visited.add(step.world)
-                    stack.append((step.world, depth + 1))
+                if step.state not in visited:
+                    visited.add(step.state)
+                    stack.append((step.state, depth + 1))
             if len(visited) > max_states:
-                raise RuntimeError("more states than the bound")
+                raise RuntimeError(f"the model has more than {max_states} states")
         return SearchResult(len(visited), None)
 
-    def _steps(self, world: World) -> Iterator[Step]:
-        if world.ticks < self.ticks:
-            yield Step(self._after_tick(world))
-        if world.restarts_left:
-            yield from self._restart_steps(world)
-        yield from self._transfer_steps(world)
-        for index in range(len(world.claimants)):
-            yield from self._claimant_steps(world, index)
+    def _steps(self, state: ModelState) -> Iterator[Step]:
+        if state.ticks < self.ticks:
+            yield Step(self._after_tick(state))
+        if state.restarts_left:
+            yield from self._restart_steps(state)
+        yield from self._transfer_steps(state)
+        for index in range(len(state.claimants)):
+            yield from self._claimant_steps(state, index)
 
     # Time
 
-    def _after_tick(self, world: World) -> World:
-        replicas = tuple(sorted(self._replica_after_tick(replica) for replica in world.replicas))
-        first, second = world.claimants
+    def _after_tick(self, state: ModelState) -> ModelState:
+        replicas = tuple(sorted(self._replica_after_tick(replica) for replica in state.replicas))
+        first, second = state.claimants
         claimants = (self._claimant_after_tick(first), self._claimant_after_tick(second))
-        return World(replicas, claimants, world.ticks + 1, world.restarts_left, world.transfers_left)
+        return ModelState(replicas, claimants, state.ticks + 1, state.restarts_left, state.transfers_left)
 
     def _replica_after_tick(self, replica: ReplicaState) -> ReplicaState:
         is_reserved = replica.reservation_left > 1
@@ -169,13 +170,13 @@
         snapshot_left = replica.snapshot_left if never_expires else max(0, replica.snapshot_left - 1)
         snapshot_is_reserved = snapshot_left > 0 and replica.snapshot_reservation_left > 1
         return ReplicaState(
-            replica.holder if is_reserved else NOBODY,
+            replica.holder if is_reserved else NO_HOLDER,
             replica.reservation_left - 1 if is_reserved else 0,
             max(0, replica.quarantine_left - 1),
             replica.first_in_flight,
             replica.second_in_flight,
             snapshot_left,
-            replica.snapshot_holder if snapshot_is_reserved else NOBODY,
+            replica.snapshot_holder if snapshot_is_reserved else NO_HOLDER,
             replica.snapshot_reservation_left - 1 if snapshot_is_reserved else 0,
         )
 
@@ -193,37 +194,40 @@
 
     # Restarts and shutdowns of replicas
 
-    def _restart_steps(self, world: World) -> Iterator[Step]:
+    def _restart_steps(self, state: ModelState) -> Iterator[Step]:
         quarantine = 0 if self.mistake is Mistake.NO_QUARANTINE else self.reservation_ttl
-        for replica in set(world.replicas):
-            fresh = ReplicaState(NOBODY, 0, quarantine, *replica[3:])
-            replicas = _replaced(world.replicas, replica, fresh)
+        for replica in set(state.replicas):
+            restarted = ReplicaState(NO_HOLDER, 0, quarantine, *replica[3:])
+            replicas = _replace(state.replicas, replica, restarted)
             yield Step(
-                World(replicas, world.claimants, world.ticks, world.restarts_left - 1, world.transfers_left)
+                ModelState(
+                    replicas, state.claimants, state.ticks, state.restarts_left - 1, state.transfers_left
+                )
             )
 
-    def _transfer_steps(self, world: World) -> Iterator[Step]:
-        for replica in set(world.replicas):
-            if world.transfers_left and self._may_shut_down(replica):
-                yield self._transfer_step(world, replica, self._after_shutdown(replica), 1)
-            if replica.snapshot_left and replica.quarantine_left:  # a replica that votes does not need it
-                yield self._transfer_step(world, replica, self._after_fetching(replica), 0)
+    def _transfer_steps(self, state: ModelState) -> Iterator[Step]:
+        for replica in set(state.replicas):
+            if state.transfers_left and self._can_shut_down(replica):
+                yield self._transfer_step(state, replica, self._after_shutdown(replica), 1)
+            # A replica that votes does not need its snapshot.
+            if replica.snapshot_left and replica.quarantine_left:
+                yield self._transfer_step(state, replica, self._after_fetching(replica), 0)
 
     def _transfer_step(
-        self, world: World, before: ReplicaState, after: ReplicaState, transfers_used: int
+        self, state: ModelState, before: ReplicaState, after: ReplicaState, transfers_used: int
     ) -> Step:
-        replicas = _replaced(world.replicas, before, after)
-        transfers_left = world.transfers_left - transfers_used
-        return Step(World(replicas, world.claimants, world.ticks, world.restarts_left, transfers_left))
+        replicas = _replace(state.replicas, before, after)
+        transfers_left = state.transfers_left - transfers_used
+        return Step(ModelState(replicas, state.claimants, state.ticks, state.restarts_left, transfers_left))
 
-    def _may_shut_down(self, replica: ReplicaState) -> bool:
+    def _can_shut_down(self, replica: ReplicaState) -> bool:
         has_lost_votes = replica.quarantine_left > 0
         return not has_lost_votes or self.mistake is Mistake.SNAPSHOT_OF_LOST_VOTES
 
     def _after_shutdown(self, replica: ReplicaState) -> ReplicaState:
-        if self.mistake is Mistake.VOTES_AFTER_SNAPSHOT:  # its next incarnation starts by the restart
+        if self.mistake is Mistake.VOTES_AFTER_SNAPSHOT:  # the restart starts its next incarnation
             return ReplicaState(*replica[:5], self.reservation_ttl, replica.holder, replica.reservation_left)
-        next_incarnation = ReplicaState(NOBODY, 0, self.reservation_ttl, *replica[3:5])
+        next_incarnation = ReplicaState(NO_HOLDER, 0, self.reservation_ttl, *replica[3:5])
         return next_incarnation._replace(
             snapshot_left=self.reservation_ttl,
             snapshot_holder=replica.holder,
@@ -238,31 +242,29 @@
 
     # Claimants
 
-    def _claimant_steps(self, world: World, index: int) -> Iterator[Step]:
-        claimant = world.claimants[index]
-        first_has_requested = world.claimants[FIRST].phase != IDLE
-        if claimant.phase == IDLE and (
-            index == FIRST or first_has_requested
-        ):  # symmetry: the order of the claimants does not matter
-            replicas = tuple(sorted(_with_request(one, index, True) for one in world.replicas))
-            yield _claimant_step(world, index, replicas, ClaimantState(REQUESTING))
+    def _claimant_steps(self, state: ModelState, index: int) -> Iterator[Step]:
+        claimant = state.claimants[index]
+        first_has_requested = state.claimants[FIRST].phase != IDLE
+        if claimant.phase == IDLE and (index == FIRST or first_has_requested):  # the claimants are symmetric
+            replicas = tuple(sorted(_with_request(replica, index, True) for replica in state.replicas))
+            yield _claimant_step(state, index, replicas, ClaimantState(REQUESTING))
         if claimant.phase != REQUESTING:
             return
-        yield from self._vote_steps(world, index)
+        yield from self._vote_steps(state, index)
         if claimant.votes_in_flight:
             received = ClaimantState(
                 REQUESTING, claimant.since_request, claimant.votes + 1, claimant.votes_in_flight - 1
             )
-            yield _claimant_step(world, index, world.replicas, received)
-        if self._may_run(claimant):
-            yield self._run_step(world, index)
-        replicas = _without_requests(_released(world.replicas, index), index)
-        yield _claimant_step(world, index, replicas, ClaimantState(GAVE_UP))
-
-    def _vote_steps(self, world: World, index: int) -> Iterator[Step]:
-        """A request arrives at a replica."""
-        claimant = world.claimants[index]
-        for replica in {one for one in world.replicas if _has_request(one, index)}:
+            yield _claimant_step(state, index, state.replicas, received)
+        if self._can_run(claimant):
+            yield self._run_step(state, index)
+        replicas = _without_requests(_release_votes(state.replicas, index), index)
+        yield _claimant_step(state, index, replicas, ClaimantState(GAVE_UP))
+
+    def _vote_steps(self, state: ModelState, index: int) -> Iterator[Step]:
+        """Yield one step for the arrival of the claimant's request at each replica."""
+        claimant = state.claimants[index]
+        for replica in {candidate for candidate in state.replicas if _has_request(candidate, index)}:
             answered = _with_request(replica, index, False)
             votes_in_flight = claimant.votes_in_flight
             if self._grants(answered, index):
@@ -270,25 +272,25 @@
                 reservation_left = self.reservation_ttl - 1 if is_short else self.reservation_ttl
                 answered = ReplicaState(index, reservation_left, *answered[2:])
                 votes_in_flight += 1
-            replicas = _replaced(world.replicas, replica, answered)
+            replicas = _replace(state.replicas, replica, answered)
             waiting = ClaimantState(
                 REQUESTING, claimant.since_request, claimant.votes, votes_in_flight, claimant.since_vote
             )
-            yield _claimant_step(world, index, replicas, waiting)
+            yield _claimant_step(state, index, replicas, waiting)
 
     def _grants(self, replica: ReplicaState, index: int) -> bool:
-        is_taken = replica.holder not in (NOBODY, index)
+        is_taken = replica.holder not in (NO_HOLDER, index)
         return not replica.quarantine_left and (not is_taken or self.mistake is Mistake.TWO_VOTES)
 
-    def _run_step(self, world: World, index: int) -> Step:
+    def _run_step(self, state: ModelState, index: int) -> Step:
         releases = self.mistake is Mistake.RELEASE_AFTER_START
-        replicas = _released(world.replicas, index) if releases else world.replicas
-        violation = world.claimants[1 - index].since_run < self.key_ttl
+        replicas = _release_votes(state.replicas, index) if releases else state.replicas
+        violation = state.claimants[1 - index].since_run < self.key_ttl
         running = ClaimantState(RAN, since_run=0)
-        step = _claimant_step(world, index, _without_requests(replicas, index), running)
-        return Step(step.world, violation)
+        step = _claimant_step(state, index, _without_requests(replicas, index), running)
+        return Step(step.state, violation)
 
-    def _may_run(self, claimant: ClaimantState) -> bool:
+    def _can_run(self, claimant: ClaimantState) -> bool:
         has_majority = 2 * claimant.votes > REPLICAS
         has_enough = has_majority or (self.mistake is Mistake.MINORITY and claimant.votes > 0)
         counted_from_vote = self.mistake is Mistake.COUNTED_FROM_VOTE
@@ -297,16 +299,16 @@
         return has_enough and in_time
 
 
-def _replaced(replicas: Replicas, before: ReplicaState, after: ReplicaState) -> Replicas:
+def _replace(replicas: Replicas, before: ReplicaState, after: ReplicaState) -> Replicas:
     changed = list(replicas)
     changed.remove(before)
     return tuple(sorted([*changed, after]))
 
 
-def _claimant_step(world: World, index: int, replicas: Replicas, claimant: ClaimantState) -> Step:
-    first, second = world.claimants
+def _claimant_step(state: ModelState, index: int, replicas: Replicas, claimant: ClaimantState) -> Step:
+    first, second = state.claimants
     claimants = (claimant, second) if index == FIRST else (first, claimant)
-    return Step(World(replicas, claimants, world.ticks, world.restarts_left, world.transfers_left))
+    return Step(ModelState(replicas, claimants, state.ticks, state.restarts_left, state.transfers_left))
 
 
 def _has_request(replica: ReplicaState, index: int) -> bool:
@@ -323,24 +325,24 @@
     return tuple(sorted(_with_request(replica, index, False) for replica in replicas))
 
 
-def _released(replicas: Replicas, index: int) -> Replicas:
+def _release_votes(replicas: Replicas, index: int) -> Replicas:
     return tuple(
-        ReplicaState(NOBODY, 0, *replica[2:]) if replica.holder == index else replica for replica in replicas
+        ReplicaState(NO_HOLDER, 0, *replica[2:]) if replica.holder == index else replica
+        for replica in replicas
     )
 
 
-SMALL = Model(
-    key_ttl=1, reservation_ttl=1, ticks=2, transfers=1
-)  # at the usual size it is 3.8 million states
+# With transfers, the model has 3.8 million states at its default size.
+SMALL = Model(key_ttl=1, reservation_ttl=1, ticks=2, transfers=1)
 
 
 def with_mistake(mistake: Mistake) -> Model:
-    """Return the model with a mistake, at a size at which the search finds it soon."""
+    """Return a model with a mistake, small enough for a fast search."""
     return replace(SMALL if mistake in TRANSFER_MISTAKES else Model(), mistake=mistake)
 
 
 def main() -> None:
-    """Search every state, also with transfers, and the model with each mistake: some minutes."""
+    """Search the model without and with transfers, and with each mistake; this takes some minutes."""
     for model in (Model(), SMALL, Model(transfers=1)):
         print(f"{model}: {model.search()}", flush=True)
     for mistake in list(Mistake)[1:]:
--- a/shelfhaven/lab/vote_transfer_stub.py
+++ b/shelfhaven/lab/vote_transfer_stub.py
@@ -1,6 +1,6 @@
-"""Replicas in one process whose posts to each other are lost, or arrive and lose their answer, by a script.
+"""A stub network between quorum replicas in one process, with scripted failures of their requests.
 
-The stub carries posts between the replicas and never looks into one.
+The stub delivers requests between the replicas without reading their bodies.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from shelfhaven.membership.peer_rpc import PeerRpcError, Route
 from shelfhaven.server.log import Log
 
-MAX_DURATION = 10.0  # seconds
+MAX_DURATION = 10.0  # longest reservation, in seconds
 REPLICAS = ("k1", "k2", "k3")
-UNSENT = "unsent"  # a post that certainly does not arrive
-LOST = "lost"  # a post that does not arrive, though nobody can say so
-UNHEARD = "unheard"  # a post that arrives, and whose answer is lost
+UNSENT = "unsent"  # the request is not sent, and the sender knows that
+LOST = "lost"  # the request does not arrive; the sender only sees a time-out
+UNHEARD = "unheard"  # the request arrives, but its answer is lost; the sender sees a time-out
 
 
 class ReplicaNetwork:
-    """Replicas whose posts have the scripted fates, in order; all later posts succeed."""
+    """Replicas whose requests to each other end as scripted, in order; all later requests succeed."""
 
     def __init__(self, fates: list[str] | None = None) -> None:
         self.routes: dict[str, dict[str, Route]] = {}  # by address and path
         self.fates: Iterator[str] = iter(fates or [])
-        self.posts: list[tuple[str, str]] = []  # addresses and paths
+        self.posts: list[tuple[str, str]] = []  # address and path of each request
         self.replicas: dict[str, QuorumReplica] = {}
 
     def start(self, name: str, incarnation: int, age: float = 100.0) -> VoteTransfer:
-        """Start an incarnation of a replica, as if some seconds ago."""
+        """Start an incarnation of a replica as if it had been running for `age` seconds."""
         endpoints = {replica: ReplicaEndpoint(replica, replica, _address(replica)) for replica in REPLICAS}
         peer_rpc: Any = SimpleNamespace(routes={}, post=self.post)
         replica = QuorumReplica(QuorumReplicaSettings(MAX_DURATION, 0.0), boottime() - age)
@@ -44,8 +44,8 @@
         return transfer
 
     async def post(self, peer: str, sender: str, path: str, body: bytes, timeout: float) -> bytes:
-        """Carry a post of a replica to another."""
-        del sender, timeout  # of `PeerRpc.post`; all posts are delivered at once
+        """Deliver a request from one replica to another, and return the answer."""
+        del sender, timeout  # parameters of `PeerRpc.post`; the stub delivers every request immediately
         self.posts.append((peer, path))
         fate = next(self.fates, "")
         if fate == UNSENT:
--- a/shelfhaven/lab/waiting.py
+++ b/shelfhaven/lab/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a condition that nothing announces, such as a line in another process's log."""
+"""Polling for conditions that no event signals, such as a line in another process's log."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 async def wait_until(condition: Callable[[], object], timeout: float, interval: float) -> None:
-    """Wait until a condition is true; it is checked at an interval in seconds.
+    """Poll a condition every `interval` seconds until it is true.
 
     Raises:
-        TimeoutError: it is not within the timeout.
+        TimeoutError: the condition was not true within `timeout` seconds.
     """
     async with asyncio.timeout(timeout):
         while not condition():
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""How tests of fleets are played: each within a bound of real time."""
+"""Runs asynchronous tests of fleets, each within a limit of real time."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-BOUND = 120.0  # seconds of a test: a busy machine takes long to start processes
+TEST_TIMEOUT = 120.0  # seconds; starting processes takes long on a busy machine
 
 
 def play(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test."""
+    """Run an asynchronous test; it fails after `TEST_TIMEOUT`."""
 
-    async def bounded() -> None:
-        async with asyncio.timeout(BOUND):
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT):
             await test()
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
 def played(test: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """A test that is a coroutine."""
+    """Turn an asynchronous test into one that pytest can call."""
 
     @functools.wraps(test)
-    def run(**given: Any) -> None:
-        play(functools.partial(test, **given))
+    def run(**fixtures: Any) -> None:
+        play(functools.partial(test, **fixtures))
 
     return run
--- a/tests/lab/simulation_digests.py
+++ b/tests/lab/simulation_digests.py
@@ -1,7 +1,7 @@
-"""Print one digest for each simulation of a seed: `python -m tests.lab.simulation_digests`.
+"""Print a digest of each kind of simulation for one seed: `python -m tests.lab.simulation_digests`.
 
-A digest covers the state of the simulation's random numbers, which every drawn delay and loss changes, and
-what was counted. `test_simulation_determinism.py` runs this in processes with different hash seeds.
+A digest covers the state of the random number generator, which every random delay and loss advances, and the
+results of the simulation. `test_simulation_determinism.py` runs this module with different hash seeds.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 
 
 def digest(*results: object) -> str:
-    """A digest of values whose `repr` shows all of them."""
+    """Return a digest of values whose `repr` is complete."""
     return hashlib.sha256(repr(results).encode()).hexdigest()[:16]
 
 
 def membership() -> str:
-    """A fleet whose list service is down for a while, and of which some members restart."""
+    """Return the digest of a fleet whose list service fails for a while and some of whose members restart."""
     service = SimulatedListService(rate=MAX_REQUESTS_PER_S)
     simulation = MembershipSimulation(MEMBERS, settings(MEMBERS), SEED, service)
     simulation.run(60.0)
@@ -48,7 +48,7 @@
 
 
 def election() -> str:
-    """Electors under a drawn schedule of faults."""
+    """Return the digest of a leader election with random faults."""
     simulation = ElectionSimulation(CANDIDATES, TASKS, QUICK_SETTINGS, SEED, QUICK_SETTINGS.clock_drift)
     plan_faults(simulation, draw_schedule(SEED, CANDIDATES, FAULT_SECONDS))
     simulation.run(2 * FAULT_SECONDS)
@@ -56,7 +56,7 @@
 
 
 def failover() -> str:
-    """Zones under a drawn schedule of faults."""
+    """Return the digest of a failover between zones with random faults."""
     simulation = FaultedSimulation(ZONES, NODES, SEED)
     for fault in draw_faults(SEED, ZONES, FAULT_SECONDS):
         simulation.at(fault.at, partial(simulation.begin, fault))
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of test fleets belong to one process of the machine at a time."""
+"""Tests of the reservation of ports: each port is reserved for one process of the machine at a time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from shelfhaven.lab.ports import BLOCK, HOST, PortBlocks
 
-TAKEN_ELSEWHERE = """
+RESERVE_PORTS = """
 import sys
 from shelfhaven.lab.ports import PortBlocks
 blocks = PortBlocks(sys.argv[1], int(sys.argv[2]), int(sys.argv[3]))
@@ -18,70 +18,71 @@
 sys.stdin.read()
 """
 
+# Each test has its own range, because several may run at once; all are below the ports of other listeners.
+RANGE_SIZE = 8 * BLOCK
+FIRST_RANGE, SECOND_RANGE, THIRD_RANGE, FOURTH_RANGE = (
+    range(7_000 + index * RANGE_SIZE, 7_000 + (index + 1) * RANGE_SIZE) for index in range(4)
+)
 
-# ports below those of other tests' listeners, apart for each test, as several may run at once
-APART = 8 * BLOCK
-FIRST, SECOND, THIRD, FOURTH = (range(7_000 + n * APART, 7_000 + (n + 1) * APART) for n in range(4))
 
-
-def _blocks(name: str, ports: range) -> PortBlocks:
+def _port_blocks(name: str, ports: range) -> PortBlocks:
     return PortBlocks(name, ports.start, ports.stop)
 
 
-def _elsewhere(name: str, ports: range, count: int) -> tuple[subprocess.Popen[str], list[int]]:
-    """Another process that holds ports until its input ends."""
+def _start_other_process(name: str, ports: range, count: int) -> tuple[subprocess.Popen[str], list[int]]:
+    """Start another process that reserves ports until its input ends; return it with its ports."""
     process = subprocess.Popen(
-        [sys.executable, "-c", TAKEN_ELSEWHERE, name, str(ports.start), str(ports.stop), str(count)],
+        [sys.executable, "-c", RESERVE_PORTS, name, str(ports.start), str(ports.stop), str(count)],
         stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
     )  # fmt: skip
     assert process.stdout
     return process, [int(port) for port in process.stdout.readline().split()]
 
 
-def test_no_port_is_given_to_two_processes_though_nobody_listens_there() -> None:
+def test_two_processes_reserve_different_ports_even_if_nobody_listens() -> None:
     name = f"test-{uuid.uuid4().hex}"
-    process, theirs = _elsewhere(name, FIRST, BLOCK + 1)
-    own = _blocks(name, FIRST)
+    process, other_ports = _start_other_process(name, FIRST_RANGE, BLOCK + 1)
+    blocks = _port_blocks(name, FIRST_RANGE)
     try:
-        ours = [own.take() for _ in range(2 * BLOCK)]
-        assert len(set(ours)) == 2 * BLOCK
-        assert len(theirs) == BLOCK + 1
-        assert not set(ours) & set(theirs)
+        own_ports = [blocks.take() for _ in range(2 * BLOCK)]
+        assert len(set(own_ports)) == 2 * BLOCK
+        assert len(other_ports) == BLOCK + 1
+        assert not set(own_ports) & set(other_ports)
     finally:
         process.kill()
         process.wait()
-        own.close()
+        blocks.close()
 
 
-def test_the_blocks_of_a_killed_process_can_be_had_again() -> None:
+def test_blocks_of_a_killed_process_can_be_reserved_again() -> None:
     name = f"test-{uuid.uuid4().hex}"
-    process, theirs = _elsewhere(name, SECOND, 1)
+    process, other_ports = _start_other_process(name, SECOND_RANGE, 1)
     process.kill()
     process.wait()
-    own = _blocks(name, SECOND)
-    assert own.take() == theirs[0]
-    own.close()
+    blocks = _port_blocks(name, SECOND_RANGE)
+    assert blocks.take() == other_ports[0]
+    blocks.close()
 
 
-def test_a_port_that_somebody_listens_on_is_passed_over() -> None:
-    own = _blocks(f"test-{uuid.uuid4().hex}", THIRD)
-    first = own.take()
+def test_port_in_use_is_skipped() -> None:
+    blocks = _port_blocks(f"test-{uuid.uuid4().hex}", THIRD_RANGE)
+    first = blocks.take()
     with socket.socket() as listener:
         listener.bind((HOST, first + 1))
         listener.listen()
-        assert own.take() == first + 2
-    own.close()
+        assert blocks.take() == first + 2
+    blocks.close()
 
 
-def test_a_block_whose_last_ports_are_listened_on_is_followed_by_another_not_by_its_own_first() -> None:
-    own = _blocks(f"test-{uuid.uuid4().hex}", FOURTH)
-    first = own.take()
-    given = {first}
+def test_block_whose_last_ports_are_in_use_is_followed_by_a_new_block() -> None:
+    blocks = _port_blocks(f"test-{uuid.uuid4().hex}", FOURTH_RANGE)
+    first = blocks.take()
+    reserved = {first}
     with contextlib.ExitStack() as stack:
         for port in range(first + BLOCK - 3, first + BLOCK):
             stack.enter_context(socket.socket()).bind((HOST, port))
         for _ in range(BLOCK):
-            port = own.take()
-            assert port not in given
-            given.add(port)
-    own.close()
+            port = blocks.take()
+            assert port not in reserved
+            reserved.add(port)
+    blocks.close()
