--- a/shelfhaven/lab/failover_plot.py
+++ b/shelfhaven/lab/failover_plot.py
@@ -1,6 +1,6 @@
 """A plot of one failover in virtual time: `python -m shelfhaven.lab.failover_plot OUT.svg`.
 
-Draws what `failover_simulation.py` has simulated, and nothing else.
+The data comes from `failover_simulation.py`.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 if TYPE_CHECKING:
     from matplotlib.axes import Axes
 
-FAULT_AT = 20.0  # seconds
-RECOVERY_AT = 80.0  # seconds
-END_AT = 160.0  # seconds
+FAULT_START = 20.0  # seconds
+FAULT_END = 80.0  # seconds
+SIMULATION_END = 160.0  # seconds
 CLASS_MIX = {"look": ClassShare(0.6, 1.0), "topup": ClassShare(0.4, 10.0)}
-DEMAND = {"z0": 0.72, "z1": 0.6, "z2": 0.72}  # z0 and z2 have capacity for a part of z1's traffic
-FAILURE_RATE = 0.8
+# Demand as a fraction of capacity: z0 and z2 have room for only a part of z1's traffic.
+DEMAND = {"z0": 0.72, "z1": 0.6, "z2": 0.72}
+FAILURE_RATE = 0.8  # fraction of the runs in z1 that fail
 
 
 def simulate_failover(nodes: int, seed: int) -> FailoverSimulation:
-    """Three zones, of which one fails for a while."""
+    """Simulate three zones, of which z1 fails most runs from `FAULT_START` to `FAULT_END`."""
     settings = SimulationSettings(demand=DEMAND, class_mix=CLASS_MIX)
     simulation = FailoverSimulation(3, nodes, seed, settings)
-    simulation.run(FAULT_AT)
+    simulation.run(FAULT_START)
     simulation.zones["z1"].failure_rate = FAILURE_RATE
-    simulation.run(RECOVERY_AT)
+    simulation.run(FAULT_END)
     simulation.zones["z1"].failure_rate = 0.0
-    simulation.run(END_AT)
+    simulation.run(SIMULATION_END)
     return simulation
 
 
 def draw_plot(simulation: FailoverSimulation, out: Path) -> None:
-    """Value earned, utilization of the zones, and what is diverted, over time."""
+    """Plot the value earned, the utilization of the zones and the diverted fractions over time."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -48,12 +49,12 @@
             3, 1, figsize=(7, 6), sharex=True, layout="constrained"
         )
         _draw_value(simulation, value)
-        _draw_zones(simulation, utilization, diverted)
+        _draw_utilization_and_diverted(simulation, utilization, diverted)
         diverted.set_xlabel(
-            f"seconds; z1 fails 80% of its runs from {FAULT_AT:.0f} to {RECOVERY_AT:.0f} (emulated)"
+            f"seconds; z1 fails 80% of its runs from {FAULT_START:.0f} to {FAULT_END:.0f} (simulated)"
         )
         for axes in (value, utilization, diverted):
-            axes.axvspan(FAULT_AT, RECOVERY_AT, alpha=0.1, color="grey")
+            axes.axvspan(FAULT_START, FAULT_END, alpha=0.1, color="grey")
             axes.legend(loc="lower right")
             axes.grid(alpha=0.3)
         figure.savefig(out, metadata={"Date": None})
@@ -63,25 +64,25 @@
 def _draw_value(simulation: FailoverSimulation, axes: Axes) -> None:
     samples = simulation.samples
     at = [sample.at for sample in samples]
-    axes.plot(at, [sample.best for sample in samples], label="an all-seeing planner", linestyle=":")
+    axes.plot(at, [sample.best for sample in samples], label="omniscient planner", linestyle=":")
     axes.plot(at, [sample.served for sample in samples], label="served")
     nearest_only = [sample.nearest_only for sample in samples]
-    axes.plot(at, nearest_only, label="nearest zone alone", linestyle="--")
-    axes.set_ylabel("worth a second")
+    axes.plot(at, nearest_only, label="nearest zone only", linestyle="--")
+    axes.set_ylabel("value per second")
     axes.set_ylim(bottom=0)
 
 
-def _draw_zones(simulation: FailoverSimulation, utilization: Axes, diverted: Axes) -> None:
+def _draw_utilization_and_diverted(simulation: FailoverSimulation, utilization: Axes, diverted: Axes) -> None:
     samples = simulation.samples
     at = [sample.at for sample in samples]
     for zone in simulation.zones:
         utilization.plot(at, [sample.utilization[zone] for sample in samples], label=zone)
         fractions = [sample.diverted.get(zone, 0.0) for sample in samples]
         diverted.step(at, fractions, where="post", label=zone)
-    usable = 1 - simulation.settings.controller.capacity_reserve
-    utilization.axhline(usable, linestyle=":", color="grey", label="less the reserve")
-    utilization.set_ylabel("asked, of the zone's room")
-    diverted.set_ylabel("part that is away")
+    usable_fraction = 1 - simulation.settings.controller.capacity_reserve
+    utilization.axhline(usable_fraction, linestyle=":", color="grey", label="capacity less reserve")
+    utilization.set_ylabel("offered load / capacity")
+    diverted.set_ylabel("diverted fraction")
 
 
 @click.command()
@@ -89,11 +90,13 @@
 @click.option("--nodes", default=18, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def main(out: Path, nodes: int, seed: int) -> None:
-    """Simulate a failover and draw it."""
+    """Simulate a failover and plot it."""
     simulation = simulate_failover(nodes, seed)
     draw_plot(simulation, out)
-    fraction = simulation.earned_fraction(FAULT_AT)
-    click.echo(f"{out}: kept {fraction:.3f} of the best, {len(simulation.decisions)} decisions")
+    fraction = simulation.earned_fraction(FAULT_START)
+    click.echo(
+        f"{out}: earned {fraction:.3f} of the best possible value, {len(simulation.decisions)} decisions"
+    )
 
 
 if __name__ == "__main__":
