--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -171,7 +171,7 @@
     simulation.run(began + seconds)
     cpu_seconds = time.process_time() - cpu_before
     messages_per_second = sum(simulation.sent.values()) / len(simulation.nodes) / seconds
-    message_bytes = simulation.bytes / max(1, simulation.measured)
+    message_bytes = simulation.encoded_bytes / max(1, simulation.encoded_messages)
     wrong_moves = len(simulation.decisions)
     failover = _lose_zone(simulation)
     return {
@@ -220,8 +220,8 @@
         for backend in zones.backends.values():
             backend.worker_slots = asyncio.Semaphore(64)
             backend.slowdown = 10.0  # 16 concurrent runs of 100 ms for each node
-        await zones.up()
-        zones.load(0.1 / (utilization * BACKEND_LIMIT))
+        await zones.start()
+        zones.start_load(0.1 / (utilization * BACKEND_LIMIT))
         await asyncio.sleep(LOCAL_SAMPLE_S)
         at = time.time()
         await asyncio.sleep(LOCAL_SAMPLE_S)
@@ -237,10 +237,10 @@
 async def _loaded_world(keys: bool) -> Figures:
     name = "claimed" if keys else "alone"
     async with world(keys=keys, topup=TOPUP) as zones:
-        await zones.up()
+        await zones.start()
         if keys:
             await zones.replicas_vote()
-        zones.load(NORMAL_LOAD_INTERVAL_S)
+        zones.start_load(NORMAL_LOAD_INTERVAL_S)
         at = time.time()
         durations = await _request_durations(zones)
         extra_time = statistics.median(durations.keyed) - statistics.median(durations.plain)
@@ -297,11 +297,11 @@
 async def _failover_figures() -> Figures:
     """A zone is killed under load: seconds until all follow that, and what is served meanwhile."""
     async with world() as zones:
-        await zones.up()
-        zones.load(0.02)
+        await zones.start()
+        zones.start_load(0.02)
         await asyncio.sleep(1.0)
         at = time.time()
-        for node in zones.of("z1"):
+        for node in zones.nodes_in("z1"):
             await zones.fleet.kill(node)
         zones.backends["z1"].stop()
         await soon(lambda: all(zones.diverted(node).get("z1") == 1.0 for node in zones.fleet.running()))
--- a/shelfhaven/lab/failover_fleet.py
+++ b/shelfhaven/lab/failover_fleet.py
@@ -95,13 +95,13 @@
         """All nodes, including those that are not running."""
         return list(self.fleet.nodes.values())
 
-    def of(self, zone: str) -> list[FleetNode]:
+    def nodes_in(self, zone: str) -> list[FleetNode]:
         """Return a zone's nodes."""
         return [node for node in self.nodes if node.zone == zone]
 
     def names_in(self, zone: str) -> list[str]:
         """Return the names of a zone's nodes."""
-        return [node.name for node in self.of(zone)]
+        return [node.name for node in self.nodes_in(zone)]
 
     def names_outside(self, zone: str) -> list[str]:
         """Return the names of all nodes in other zones."""
@@ -113,7 +113,7 @@
 
     def replicas(self) -> list[FleetNode]:
         """Return the quorum replicas: the first node of each zone in `replica_zones`."""
-        return [self.of(zone)[0] for zone in self.replica_zones]
+        return [self.nodes_in(zone)[0] for zone in self.replica_zones]
 
     def zones_block(self, keys: bool) -> str:
         """Return the block `zones` of the configuration, with the quorum replicas if `keys` is set."""
@@ -127,7 +127,7 @@
         ]
         return "keys {\n" + "\n".join(lines) + "\n}"
 
-    async def up(self) -> None:
+    async def start(self) -> None:
         """Start all nodes; wait until they know each other and one runs the failover controller."""
         await self.fleet.start_all()
         node_count = len(self.nodes)
@@ -141,7 +141,7 @@
         """Wait until all replicas vote: after a start they first wait out the longest reservation."""
         await soon(lambda: all(self._votes(node).get("quarantine") == 0.0 for node in self.replicas()))
 
-    def cut(self, zone: str, store: bool = True, rule: Rule | None = Rule(hole=True)) -> None:  # noqa: B008
+    def cut(self, zone: str, store: bool = True, rule: Rule | None = Rule(blackhole=True)) -> None:  # noqa: B008
         """Isolate a zone from the others and, if `store` is set, from the store; `rule=None` undoes it."""
         self.fleet.net.cut(self.names_in(zone), self.names_outside(zone), rule)
         if store:
@@ -157,7 +157,7 @@
         except (OSError, TimeoutError, ValueError):
             return None
 
-    def load(self, interval: float = REQUEST_INTERVAL, keyed: bool = False) -> None:
+    def start_load(self, interval: float = REQUEST_INTERVAL, keyed: bool = False) -> None:
         """Start sending requests to every node; with `keyed`, each has an idempotency key of its own."""
         self.tasks += [
             asyncio.ensure_future(self._send_requests(node, interval, keyed)) for node in self.nodes
@@ -306,6 +306,6 @@
     """Start a world with quorum replicas, and wait until they vote."""
     values: FileValues = {"topup": TOPUP, **changes}
     async with world(keys=True, regions=regions, replica_zones=replica_zones, **values) as created_world:
-        await created_world.up()
+        await created_world.start()
         await created_world.replicas_vote()
         yield created_world
--- a/shelfhaven/lab/failover_simulation.py
+++ b/shelfhaven/lab/failover_simulation.py
@@ -121,8 +121,8 @@
         self.decisions: list[tuple[float, TrafficPolicy]] = []
         self.samples: list[TrafficSample] = []
         self.sent: Counter[str] = Counter()  # number of datagrams by sender
-        self.bytes = 0  # size of the messages that were encoded
-        self.measured = 0  # number of messages that were encoded
+        self.encoded_bytes = 0  # size of the messages that were encoded
+        self.encoded_messages = 0  # number of messages that were encoded
         self.violations: list[str] = []
         self.falsely_failed: set[str] = set()  # live nodes that some observer believed to have failed
         self.observed_pairs = 0  # pairs of an observer and a live node, summed over ticks
@@ -192,8 +192,8 @@
     def _send(self, node: SimulatedNode, send: Send) -> None:
         self.sent[node.name] += 1
         if self.random.randrange(ENCODING_INTERVAL) == 0:
-            self.bytes += len(seal(SECRET, encode_message(send.message)))
-            self.measured += 1
+            self.encoded_bytes += len(seal(SECRET, encode_message(send.message)))
+            self.encoded_messages += 1
         receiver = self.nodes.get(send.address)
         if receiver is None or not receiver.alive:
             return
--- a/shelfhaven/lab/fault_links.py
+++ b/shelfhaven/lab/fault_links.py
@@ -29,19 +29,19 @@
     """The faults of one direction of a link; all faults that are set apply together.
 
     Attributes:
-        hole: bytes are dropped silently, and connections stay open.
+        blackhole: bytes are dropped silently, and connections stay open.
         reset: connections are reset.
-        shut: new connections from the sender are closed; connections opened by the receiver still work
-            in both directions.
+        refuse_connections: new connections from the sender are closed; connections that the
+            receiver opens still work in both directions.
         delay: seconds by which each chunk or datagram is delayed.
         rate: bytes per second; 0 means unlimited.
         loss: fraction of datagrams that are dropped at random.
         jitter: largest random delay of a datagram in seconds, which also reorders datagrams.
     """
 
-    hole: bool = False
+    blackhole: bool = False
     reset: bool = False
-    shut: bool = False
+    refuse_connections: bool = False
     delay: float = 0.0
     rate: float = 0.0
     loss: float = 0.0
@@ -50,14 +50,14 @@
     @property
     def drops_everything(self) -> bool:
         """Whether every datagram is dropped."""
-        return self.hole or self.reset or self.shut
+        return self.blackhole or self.reset or self.refuse_connections
 
 
 NO_FAULTS = Rule()
-BLACKHOLE = Rule(hole=True)
+BLACKHOLE = Rule(blackhole=True)
 
 
-class Net:
+class Network:
     """The gates of a test network, and the rules of its links by sender and receiver."""
 
     def __init__(self) -> None:
@@ -85,16 +85,16 @@
                 self.set(name, other, rule)
                 self.set(other, name, rule)
 
-    async def gate(self, target: str, port: int, to_port: int, source: str = "") -> Gate:
+    async def gate(self, target: str, port: int, target_port: int, source: str = "") -> Gate:
         """Open a gate to a service or node; without `source`, the first line identifies the sender."""
-        gate = Gate(self, target, to_port, source)
+        gate = Gate(self, target, target_port, source)
         await gate.start(port)
         self.gates.append(gate)
         return gate
 
-    async def datagrams(self, target: str, port: int, to_port: int, names: Callable[[int], str]) -> None:
+    async def datagrams(self, target: str, port: int, target_port: int, names: Callable[[int], str]) -> None:
         """Open a gate for datagrams to a node; `names` returns the sender that uses a source port."""
-        gate = DatagramGate(self, target, to_port, names)
+        gate = DatagramGate(self, target, target_port, names)
         await asyncio.get_running_loop().create_datagram_endpoint(lambda: gate, local_addr=(HOST, port))
         self.gates.append(gate)
 
@@ -110,19 +110,19 @@
     Attributes:
         names: returns a peer's name by its address.
         open: writers of both ends of all open connections.
-        carried: number of bytes that were forwarded.
+        forwarded: number of bytes that were forwarded.
     """
 
-    def __init__(self, net: Net, target: str, to_port: int, source: str) -> None:
+    def __init__(self, net: Network, target: str, target_port: int, source: str) -> None:
         self.net = net
         self.target = target
-        self.to_port = to_port
+        self.target_port = target_port
         self.source = source
         self.names: Callable[[str], str] = lambda address: address
         self.server: asyncio.Server | None = None
         self.port = 0
         self.open: set[asyncio.StreamWriter] = set()
-        self.carried = 0
+        self.forwarded = 0
 
     async def start(self, port: int) -> None:
         """Start listening; port 0 lets the system choose a port."""
@@ -143,9 +143,9 @@
             first_bytes = await reader.read(READ_SIZE)
             source = self.source or self._sender(first_bytes)
             rule = self.net.rule(source, self.target)
-            if rule.reset or rule.shut:
+            if rule.reset or rule.refuse_connections:
                 return
-            target_reader, target_writer = await asyncio.open_connection(HOST, self.to_port)
+            target_reader, target_writer = await asyncio.open_connection(HOST, self.target_port)
             self.open.add(target_writer)
             await asyncio.gather(
                 self._forward_direction(first_bytes, reader, target_writer, source, self.target),
@@ -187,12 +187,12 @@
             delay = rule.delay + (len(data) / rule.rate if rule.rate else 0.0)
             if delay:
                 await asyncio.sleep(delay)
-            if not self.net.rule(sender, receiver).hole:
-                self.carried += len(data)
+            if not self.net.rule(sender, receiver).blackhole:
+                self.forwarded += len(data)
                 writer.write(data)
                 await writer.drain()
             data = b""
-        if not self.net.rule(sender, receiver).hole:
+        if not self.net.rule(sender, receiver).blackhole:
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
@@ -201,18 +201,18 @@
     """A forwarding proxy for datagrams to one target, which sees the gate as their sender.
 
     Attributes:
-        carried, lost: numbers of datagrams that were forwarded and dropped.
+        forwarded, dropped: numbers of datagrams that were forwarded and dropped.
     """
 
-    def __init__(self, net: Net, target: str, to_port: int, names: Callable[[int], str]) -> None:
+    def __init__(self, net: Network, target: str, target_port: int, names: Callable[[int], str]) -> None:
         self.net = net
         self.target = target
-        self.to_port = to_port
+        self.target_port = target_port
         self.names = names
         self.transport: asyncio.DatagramTransport | None = None
-        self.random = Random(to_port)
-        self.carried = 0
-        self.lost = 0
+        self.random = Random(target_port)
+        self.forwarded = 0
+        self.dropped = 0
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:  # type: ignore[override]
         """Store the transport, which also sends the forwarded datagrams."""
@@ -222,7 +222,7 @@
         """Forward a datagram, unless the rule in force drops it."""
         rule = self.net.rule(self.names(addr[1]), self.target)
         if rule.drops_everything or (rule.loss and self.random.random() < rule.loss):
-            self.lost += 1
+            self.dropped += 1
             return
         delay = rule.delay + rule.jitter * self.random.random()
         if delay:
@@ -232,8 +232,8 @@
 
     def _forward(self, data: bytes) -> None:
         if self.transport and not self.transport.is_closing():
-            self.carried += 1
-            self.transport.sendto(data, (HOST, self.to_port))
+            self.forwarded += 1
+            self.transport.sendto(data, (HOST, self.target_port))
 
     def close(self) -> None:
         """Stop forwarding."""
--- a/shelfhaven/lab/fleet.py
+++ b/shelfhaven/lab/fleet.py
@@ -23,7 +23,7 @@
 
 from shelfhaven.config import Address
 from shelfhaven.lab.callers import Reply, ask
-from shelfhaven.lab.fault_links import Gate, Net
+from shelfhaven.lab.fault_links import Gate, Network
 from shelfhaven.lab.ports import reserved_port
 
 STARTED = "started_by_lab"  # log event that marks a start of a process
@@ -211,7 +211,7 @@
         self.folder = folder
         self.store_port = store_port  # of the list service, 0 for none
         self.servers = list(servers)
-        self.net = Net()
+        self.net = Network()
         self.nodes: dict[str, FleetNode] = {}
         self.by_gate: dict[str, str] = {}  # names of nodes by the address of their gate
         self.by_port: dict[int, str] = {}  # names of nodes by the port that they send datagrams from
--- a/shelfhaven/lab/ports.py
+++ b/shelfhaven/lab/ports.py
@@ -16,7 +16,7 @@
 from shelfhaven.errors import ShelfhavenError
 
 FIRST_PORT = 12_000  # of the ports that may be reserved; the last one is below the ephemeral range
-BLOCK = 128  # ports in a block
+BLOCK_SIZE = 128  # ports in a block
 HOST = "127.0.0.1"
 EPHEMERAL_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 
@@ -77,7 +77,7 @@
 
     def _reserve_block(self) -> bool:
         """Reserve one more block; return False if all blocks are reserved."""
-        for block in range(self.first, self.end - BLOCK + 1, BLOCK):
+        for block in range(self.first, self.end - BLOCK_SIZE + 1, BLOCK_SIZE):
             reservation = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
             try:
                 reservation.bind(f"\0{self.name}-{block}")
@@ -85,7 +85,7 @@
                 reservation.close()
                 continue
             self._reservations.append(reservation)
-            self._unused = list(range(block + BLOCK - 1, block - 1, -1))
+            self._unused = list(range(block + BLOCK_SIZE - 1, block - 1, -1))
             return True
         return False
 
--- a/shelfhaven/lab/reservation_model.py
+++ b/shelfhaven/lab/reservation_model.py
@@ -333,17 +333,17 @@
 
 
 # With transfers, the model has 3.8 million states at its default size.
-SMALL = Model(key_ttl=1, reservation_ttl=1, ticks=2, transfers=1)
+SMALL_MODEL = Model(key_ttl=1, reservation_ttl=1, ticks=2, transfers=1)
 
 
 def with_mistake(mistake: Mistake) -> Model:
     """Return a model with a mistake, small enough for a fast search."""
-    return replace(SMALL if mistake in TRANSFER_MISTAKES else Model(), mistake=mistake)
+    return replace(SMALL_MODEL if mistake in TRANSFER_MISTAKES else Model(), mistake=mistake)
 
 
 def main() -> None:
     """Search the model without and with transfers, and with each mistake; this takes some minutes."""
-    for model in (Model(), SMALL, Model(transfers=1)):
+    for model in (Model(), SMALL_MODEL, Model(transfers=1)):
         print(f"{model}: {model.search()}", flush=True)
     for mistake in list(Mistake)[1:]:
         print(f"{mistake.value}: {with_mistake(mistake).search()}", flush=True)
--- a/shelfhaven/lab/vote_transfer_stub.py
+++ b/shelfhaven/lab/vote_transfer_stub.py
@@ -19,16 +19,16 @@
 MAX_DURATION = 10.0  # longest reservation, in seconds
 REPLICAS = ("k1", "k2", "k3")
 UNSENT = "unsent"  # the request is not sent, and the sender knows that
-LOST = "lost"  # the request does not arrive; the sender only sees a time-out
-UNHEARD = "unheard"  # the request arrives, but its answer is lost; the sender sees a time-out
+REQUEST_LOST = "request lost"  # the request does not arrive; the sender only sees a time-out
+ANSWER_LOST = "answer lost"  # the request arrives, but its answer is lost; the sender sees a time-out
 
 
 class ReplicaNetwork:
     """Replicas whose requests to each other end as scripted, in order; all later requests succeed."""
 
-    def __init__(self, fates: list[str] | None = None) -> None:
+    def __init__(self, outcomes: list[str] | None = None) -> None:
         self.routes: dict[str, dict[str, Route]] = {}  # by address and path
-        self.fates: Iterator[str] = iter(fates or [])
+        self.outcomes: Iterator[str] = iter(outcomes or [])
         self.posts: list[tuple[str, str]] = []  # address and path of each request
         self.replicas: dict[str, QuorumReplica] = {}
 
@@ -47,13 +47,13 @@
         """Deliver a request from one replica to another, and return the answer."""
         del sender, timeout  # parameters of `PeerRpc.post`; the stub delivers every request immediately
         self.posts.append((peer, path))
-        fate = next(self.fates, "")
-        if fate == UNSENT:
+        outcome = next(self.outcomes, "")
+        if outcome == UNSENT:
             raise PeerRpcError("refused", False)
-        if fate == LOST:
+        if outcome == REQUEST_LOST:
             raise PeerRpcError("time-out", True)
         answer = await self.routes[peer][path](body)
-        if fate == UNHEARD:
+        if outcome == ANSWER_LOST:
             raise PeerRpcError("time-out", True)
         return answer
 
--- a/tests/election/test_fleet_store_faults.py
+++ b/tests/election/test_fleet_store_faults.py
@@ -71,7 +71,7 @@
             await elections.fleet.start_all()
             first = await elections.wait_for_leader()
             # Requests reach the store, but its answers do not come back.
-            elections.fleet.net.set("store", first.name, Rule(hole=True))
+            elections.fleet.net.set("store", first.name, Rule(blackhole=True))
             await soon(lambda: first.events("duty")[-1]["state"] == "doubtful")
             uncertain_at = time.time()
             await asyncio.sleep(0.3)
--- a/tests/failover/test_fleet.py
+++ b/tests/failover/test_fleet.py
@@ -36,8 +36,8 @@
 ) -> AsyncIterator[World]:
     """Start a fleet and send requests to its nodes."""
     async with world(regions=regions, **changes) as loaded:
-        await loaded.up()
-        loaded.load()
+        await loaded.start()
+        loaded.start_load()
         yield loaded
 
 
@@ -73,7 +73,7 @@
 def test_lost_zone_is_closed_by_all_nodes_and_recovers_in_steps() -> None:
     async def check() -> None:
         async with loaded_world() as running_world:
-            for node in running_world.of("z1"):
+            for node in running_world.nodes_in("z1"):
                 await running_world.fleet.kill(node)
             running_world.backends["z1"].stop()
             started_at = time.time()
@@ -87,7 +87,7 @@
             await asyncio.sleep(1.0)
             assert running_world.success_rate(measured_from, zone="z0") > 0.95
             await running_world.backends["z1"].start()
-            for node in running_world.of("z1"):
+            for node in running_world.nodes_in("z1"):
                 await running_world.fleet.start(node)
             await soon(
                 lambda: all(
@@ -150,9 +150,9 @@
         async with world(pool=NO_EJECTION) as running_world:
             # a diverted class no longer fails in its zone, so its traffic would return within seconds
             change_setting(running_world, RECOVERY_DELAY, 'calm="120s"')
-            await running_world.up()
-            running_world.load()
-            running_world.load(keyed=True)
+            await running_world.start()
+            running_world.start_load()
+            running_world.start_load(keyed=True)
             await asyncio.sleep(1.0)
             running_world.backends["z1"].failing_prefix = "/topup"
             started_at = time.time()
@@ -180,7 +180,7 @@
             look_runs = sum(run.path.startswith("/balance") for run in local_runs)
             assert look_runs > 30, "the healthy class stays local"
             assert len(local_runs) - look_runs < 0.5 * look_runs
-            assert all([await node.healthy() for node in running_world.of("z1")])
+            assert all([await node.healthy() for node in running_world.nodes_in("z1")])
             assert running_world.success_rate(measured_from, zone="z1") > 0.95
 
     play(check)
@@ -200,7 +200,7 @@
             assert running_world.runs_in("z2", measured_from) > 0
             assert all(
                 running_world.diverted(node).get(zone, 0.0) < 1.0
-                for node in running_world.of("z2")
+                for node in running_world.nodes_in("z2")
                 for zone in ("z0", "z1")
             )
             running_world.cut("z2", rule=None)
@@ -221,7 +221,7 @@
             for node in running_world.names_in("z1"):
                 for other in running_world.names_outside("z1"):
                     sender, receiver = (other, node) if blocks_inbound else (node, other)
-                    running_world.fleet.net.set(sender, receiver, Rule(hole=True))
+                    running_world.fleet.net.set(sender, receiver, Rule(blackhole=True))
             other_nodes = [node for node in running_world.nodes if node.zone != "z1"]
             await soon(lambda: all(running_world.diverted(node).get("z1") == 1.0 for node in other_nodes))
             measured_from = time.time()
@@ -274,15 +274,16 @@
                 offset = (3600, 0, -3600)[number % 3]  # one zone's clocks are ahead, one zone's behind
                 env = {"PYTHONPATH": f"{STEPPED}:{ROOT}", "STEP_BY": str(offset), "STEP_AFTER": "2"}
                 running_world.fleet.env[node.name] = env
-            await running_world.up()
-            running_world.load(0.012)
+            await running_world.start()
+            running_world.start_load(0.012)
             await asyncio.sleep(3.0)
             # 90 ms instead of 10 ms per run: each node needs more than 4 concurrent runs
             running_world.backends["z1"].slowdown = 9.0
             measured_from = time.time()
             await asyncio.sleep(5.0)
             assert all(
-                running_world.remote_fraction(node, measured_from) > 0.15 for node in running_world.of("z1")
+                running_world.remote_fraction(node, measured_from) > 0.15
+                for node in running_world.nodes_in("z1")
             )
             assert all(
                 running_world.remote_fraction(node, measured_from) < 0.02
@@ -307,15 +308,15 @@
     ) as running_world:
         # with one or two concurrent runs, a single zone may appear to have more than half of the load
         change_setting(running_world, "decide ", "decide most=0.9 ")
-        await running_world.up()
+        await running_world.start()
         await running_world.replicas_vote()
-        running_world.load()
+        running_world.start_load()
         west, east = running_world.names_in_region("west"), running_world.names_in_region("east")
-        first_answer = await running_world.topped_up(running_world.of("z1")[1], "k1")
+        first_answer = await running_world.topped_up(running_world.nodes_in("z1")[1], "k1")
         assert first_answer
         assert first_answer.status == 200
         started_at = time.time()
-        running_world.fleet.net.cut(west, [*east, "store"], Rule(hole=True))
+        running_world.fleet.net.cut(west, [*east, "store"], Rule(blackhole=True))
         east_nodes = [running_world.fleet.nodes[name] for name in east]
         repeated_answer = await running_world.topped_up(east_nodes[1], "k1")
         assert repeated_answer
@@ -324,7 +325,7 @@
             not repeated_answer.not_run
         ), "it has run in the other partition, so this one must not report that it has not"
         await soon(lambda: all(running_world.diverted(node) == {"z0": 1.0, "z1": 1.0} for node in east_nodes))
-        rejected_answer = await running_world.topped_up(running_world.of("z0")[1], "k2")
+        rejected_answer = await running_world.topped_up(running_world.nodes_in("z0")[1], "k2")
         assert rejected_answer
         assert rejected_answer.not_run
         assert "retry-after" in rejected_answer.fields
@@ -353,7 +354,7 @@
     async with loaded_world(regions=TWO_REGIONS) as running_world:
         await soon(lambda: running_world.runs_in("z0", 0.0) > 50)
         running_world.backends["z0"].stop()
-        for node in running_world.of("z0"):
+        for node in running_world.nodes_in("z0"):
             await running_world.fleet.kill(node)
         measured_from = time.time()
         await soon(
@@ -369,9 +370,9 @@
 def test_loss_of_the_leaders_zone_is_decided_by_another_node() -> None:
     async def check() -> None:
         async with world() as running_world:
-            await running_world.up()
+            await running_world.start()
             leader = current_leader(running_world)
-            for node in running_world.of(leader.zone):
+            for node in running_world.nodes_in(leader.zone):
                 await running_world.fleet.kill(node)
             await soon(
                 lambda: all(
@@ -412,7 +413,7 @@
 def test_policy_stays_in_force_without_the_store_until_it_expires() -> None:
     async def check() -> None:
         async with loaded_world() as running_world:
-            for node in running_world.of("z1"):
+            for node in running_world.nodes_in("z1"):
                 await running_world.fleet.kill(node)
             other_nodes = running_world.fleet.running()
             await soon(lambda: all(running_world.diverted(node).get("z1") == 1.0 for node in other_nodes))
@@ -439,8 +440,8 @@
             await asyncio.sleep(8.0)
             assert not any(running_world.decisions(zone, started_at) for zone in running_world.backends)
             assert all(running_world.zones_load(node)["gone"] == 0 for node in running_world.nodes)
-            lossy_gates = [gate for gate in running_world.fleet.net.gates if hasattr(gate, "lost")]
-            assert sum(gate.lost for gate in lossy_gates) > 50
+            lossy_gates = [gate for gate in running_world.fleet.net.gates if hasattr(gate, "dropped")]
+            assert sum(gate.dropped for gate in lossy_gates) > 50
             assert running_world.success_rate(started_at) > 0.95
 
     play(check)
@@ -449,7 +450,7 @@
 def test_suspended_node_declares_no_peer_failed_after_it_resumes() -> None:
     async def check() -> None:
         async with world() as running_world:
-            await running_world.up()
+            await running_world.start()
             started_at = time.time()
             node = running_world.nodes[0]
             for _ in range(3):
@@ -493,10 +494,12 @@
                 lambda: all(running_world.diverted(node).get(zone) == 1.0 for node in running_world.nodes)
             )
             await soon(
-                lambda: all(running_world.zones_load(node)["turns_away"] for node in running_world.of(zone))
+                lambda: all(
+                    running_world.zones_load(node)["turns_away"] for node in running_world.nodes_in(zone)
+                )
             )
             assert not any(
-                [await node.healthy() for node in running_world.of(zone)]
+                [await node.healthy() for node in running_world.nodes_in(zone)]
             ), "health checks tell proxies and gateways to stop sending requests"
             if codes == [ExitCode.DONE, ExitCode.DONE]:
                 await run_until_applied("restore", other)
@@ -518,8 +521,8 @@
 def test_restarted_fleet_follows_the_agreed_policy() -> None:
     async def check() -> None:
         async with world() as running_world:
-            await running_world.up()
-            for node in running_world.of("z1"):
+            await running_world.start()
+            for node in running_world.nodes_in("z1"):
                 await running_world.fleet.kill(node)
             other_nodes = running_world.fleet.running()
             await soon(lambda: all(running_world.diverted(node).get("z1") == 1.0 for node in other_nodes))
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -20,7 +20,7 @@
 def test_duplicate_in_another_zone_gets_the_result_of_the_single_run() -> None:
     async def check() -> None:
         async with voting() as world:
-            first = await world.topped_up(world.of("z0")[1], "k1")
+            first = await world.topped_up(world.nodes_in("z0")[1], "k1")
             assert first
             assert first.status == 200
             for node in world.nodes:
@@ -28,7 +28,7 @@
                 assert duplicate
                 assert (duplicate.status, duplicate.body) == (200, first.body)
             assert len(world.runs_of("k1")) == 1
-            other = await world.topped_up(world.of("z1")[0], "k1", b"another amount")
+            other = await world.topped_up(world.nodes_in("z1")[0], "k1", b"another amount")
             assert other
             assert other.status == 200, "another body under the same key is a different request"
             world.ran.remove(world.runs_of("k1")[1])
@@ -54,17 +54,17 @@
     async def check() -> None:
         async with voting(with_routers=True) as world:
             body = base64.b64encode(b"100").decode()
-            first = await world.topped_up(world.of("z0")[1], "k1")
+            first = await world.topped_up(world.nodes_in("z0")[1], "k1")
             assert first
             assert first.status == 200
-            router = Router(*await connect(Address("127.0.0.1", world.of("z1")[1].routers)))
+            router = Router(*await connect(Address("127.0.0.1", world.nodes_in("z1")[1].routers)))
             router.request(1, "topup", dedupe="k1", body=body)
             answer = await router.answer(1)
             assert "result" in answer, answer
             assert base64.b64decode(answer["result"]["body"]) == first.body
             router.request(2, "topup", dedupe="k2", body=body)
             second = await router.answer(2)
-            duplicate = await world.topped_up(world.of("z2")[1], "k2")
+            duplicate = await world.topped_up(world.nodes_in("z2")[1], "k2")
             assert duplicate
             assert duplicate.body == base64.b64decode(second["result"]["body"])
             assert [len(world.runs_of(key)) for key in ("k1", "k2")] == [1, 1]
@@ -76,12 +76,12 @@
 def test_run_in_a_failed_zone_is_not_repeated_elsewhere_within_its_key_ttl() -> None:
     async def check() -> None:
         async with voting() as world:
-            failing_node = world.of("z1")[1]
+            failing_node = world.nodes_in("z1")[1]
             first = await world.topped_up(failing_node, "k1")
             assert first
             assert first.status == 200
             failed_at = time.time()
-            for node in world.of("z1"):
+            for node in world.nodes_in("z1"):
                 await world.fleet.kill(node)
             world.backends["z1"].stop()
             while time.time() - failed_at < 2.5:
@@ -91,11 +91,11 @@
                     assert duplicate.status >= 500
                     assert not duplicate.not_run, "it may have run, so it must not be reported as not run"
             assert len(world.runs_of("k1")) == 1
-            fresh = await world.topped_up(world.of("z0")[0], "k2")
+            fresh = await world.topped_up(world.nodes_in("z0")[0], "k2")
             assert fresh
             assert fresh.status == 200, "two of three zones are a majority"
             await asyncio.sleep(max(0.0, failed_at + RESERVATION_DURATION * 1.05 + 0.5 - time.time()))
-            late = await world.topped_up(world.of("z2")[1], "k1")
+            late = await world.topped_up(world.nodes_in("z2")[1], "k1")
             assert late
             assert late.status == 200, "its reservation has expired"
             world.ran.remove(world.runs_of("k1")[1])
@@ -183,9 +183,9 @@
             replies = []
             for number in range(30):
                 nodes = [
-                    world.of("z0")[number % 2],
-                    world.of("z1")[number % 2],
-                    world.of("z2")[number % 2],
+                    world.nodes_in("z0")[number % 2],
+                    world.nodes_in("z1")[number % 2],
+                    world.nodes_in("z2")[number % 2],
                 ]
                 replies += await asyncio.gather(*(world.topped_up(node, f"k{number}") for node in nodes))
             assert all(replies), "each request gets a final answer"
--- a/tests/idempotency/test_reservation_model.py
+++ b/tests/idempotency/test_reservation_model.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from shelfhaven.lab.reservation_model import SMALL, Mistake, Model, with_mistake
+from shelfhaven.lab.reservation_model import SMALL_MODEL, Mistake, Model, with_mistake
 
 
 def test_model_keeps_its_invariant_in_every_state() -> None:
-    for model in (Model(), SMALL):
+    for model in (Model(), SMALL_MODEL):
         result = model.search()
         assert result.steps is None
         assert result.states > 50_000
--- a/tests/idempotency/test_vote_transfer.py
+++ b/tests/idempotency/test_vote_transfer.py
@@ -20,7 +20,7 @@
     VOTES_PER_PAGE,
     SnapshotPage,
 )
-from shelfhaven.lab.vote_transfer_stub import LOST, MAX_DURATION, UNHEARD, UNSENT, ReplicaNetwork
+from shelfhaven.lab.vote_transfer_stub import ANSWER_LOST, MAX_DURATION, REQUEST_LOST, UNSENT, ReplicaNetwork
 from shelfhaven.membership.clock import boottime
 
 
@@ -46,9 +46,9 @@
     restored: bool
 
 
-def hand_over_and_restore(fates: list[str]) -> Restart:
+def hand_over_and_restore(outcomes: list[str]) -> Restart:
     async def check() -> Restart:
-        network = ReplicaNetwork(fates)
+        network = ReplicaNetwork(outcomes)
         first = network.start("k1", 1)
         network.start("k2", 1)
         network.start("k3", 1)
@@ -67,20 +67,20 @@
     assert restart.network.replicas["k1"].quarantine_left(boottime()) == 0.0
 
 
-@pytest.mark.parametrize("fates", [[UNSENT], [LOST], [UNHEARD], ["", UNSENT]])
+@pytest.mark.parametrize("outcomes", [[UNSENT], [REQUEST_LOST], [ANSWER_LOST], ["", UNSENT]])
 def test_snapshot_goes_to_the_next_replica_if_the_first_certainly_has_no_complete_one(
-    fates: list[str],
+    outcomes: list[str],
 ) -> None:
-    restart = hand_over_and_restore(fates)
+    restart = hand_over_and_restore(outcomes)
     assert (restart.stored_by, restart.restored) == ("k3", True)
     assert restart.network.replicas["k1"].on_request(boottime(), request(2, "y")).kind is VoteKind.TAKEN
 
 
-@pytest.mark.parametrize("fates", [["", LOST], ["", UNHEARD]])
-def test_snapshot_goes_to_no_further_replica_if_its_last_page_may_have_arrived(fates: list[str]) -> None:
-    restart = hand_over_and_restore(fates)
+@pytest.mark.parametrize("outcomes", [["", REQUEST_LOST], ["", ANSWER_LOST]])
+def test_snapshot_goes_to_no_further_replica_if_its_last_page_may_have_arrived(outcomes: list[str]) -> None:
+    restart = hand_over_and_restore(outcomes)
     assert restart.stored_by is None
-    assert restart.restored == (fates[1] == UNHEARD), "restored only if the last page did arrive"
+    assert restart.restored == (outcomes[1] == ANSWER_LOST), "restored only if the last page did arrive"
     assert {address for address, path in restart.network.posts if path == vote_transfer.PUT_PATH} == {"at-k2"}
 
 
@@ -92,7 +92,7 @@
         network.start("k3", 1)
         grant_keys(first.replica, 1)
         assert await first.hand_over(2.0) == "k2"
-        network.fates = iter([UNHEARD, LOST])
+        network.outcomes = iter([ANSWER_LOST, REQUEST_LOST])
         assert await network.start("k1", 2, age=0.0).restore()
         assert not await network.start("k1", 3, age=0.0).restore(), "incarnation 2 may have voted since"
         in_quarantine = network.start("k1", 4, age=0.0)
@@ -121,12 +121,15 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(st.sampled_from(["", UNSENT, LOST, UNHEARD]), max_size=6), st.integers(0, 3 * VOTES_PER_PAGE))
+@given(
+    st.lists(st.sampled_from(["", UNSENT, REQUEST_LOST, ANSWER_LOST]), max_size=6),
+    st.integers(0, 3 * VOTES_PER_PAGE),
+)
 def test_incarnation_that_restores_a_snapshot_has_every_vote_despite_losses(
-    fates: list[str], count: int
+    outcomes: list[str], count: int
 ) -> None:
     async def check() -> None:
-        network = ReplicaNetwork(fates)
+        network = ReplicaNetwork(outcomes)
         first = network.start("k1", 1)
         network.start("k2", 1)
         network.start("k3", 1)
@@ -135,7 +138,7 @@
         next_incarnations = [network.start("k1", number, age=MAX_DURATION - 0.05) for number in (2, 3)]
         restored = []
         for incarnation in next_incarnations:
-            network.fates = iter([])
+            network.outcomes = iter([])
             if await incarnation.restore():
                 restored.append(incarnation)
                 assert incarnation.replica.reservations.keys() == {key(number) for number in range(count)}
--- a/tests/idempotency/test_vote_transfer_fleet.py
+++ b/tests/idempotency/test_vote_transfer_fleet.py
@@ -54,7 +54,7 @@
 @played
 async def test_replicas_restarted_one_by_one_lose_no_votes_and_vote_at_once() -> None:
     async with world_with_long_reservations() as world:
-        world.load(0.1, keyed=True)
+        world.start_load(0.1, keyed=True)
         for number, replica in enumerate(world.replicas()):
             key = f"k{number}"
             await serve(world, world.nodes[5 - number], key)
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -43,7 +43,7 @@
         async with world() as fleet_world:
             isolated = fleet_world.nodes[::2]
             for node in isolated:
-                fleet_world.fleet.net.set(node.name, "store", Rule(hole=True))
+                fleet_world.fleet.net.set(node.name, "store", Rule(blackhole=True))
             await fleet_world.fleet.start_all()
             await soon(lambda: fleet_world.fleet.all_know(3))
             await soon(lambda: all(node.ready_after() for node in fleet_world.nodes))
@@ -142,11 +142,11 @@
             unreachable = fleet_world.nodes[0]
             fleet_world.fleet.net.set(unreachable.name, "store", Rule(reset=True))
             # Nobody can connect to it, but it can connect to all others.
-            fleet_world.fleet.net.set("*", unreachable.name, Rule(shut=True))
+            fleet_world.fleet.net.set("*", unreachable.name, Rule(refuse_connections=True))
             blackholed = fleet_world.nodes[1]
             fleet_world.fleet.net.set(blackholed.name, "store", Rule(reset=True))
             # Everything sent to it is lost, but not what it sends itself.
-            fleet_world.fleet.net.set("*", blackholed.name, Rule(hole=True))
+            fleet_world.fleet.net.set("*", blackholed.name, Rule(blackhole=True))
             await fleet_world.fleet.start_all()
             others = [node for node in fleet_world.nodes if node is not blackholed]
             await soon(lambda: all(node.knows() == 4 for node in others))
@@ -182,7 +182,7 @@
             await soon(lambda: all(node.events("phase") for node in fleet_world.nodes))
             for node in fleet_world.nodes:
                 assert node.store_gate
-                node.store_gate.to_port = other.port
+                node.store_gate.target_port = other.port
                 gate = await fleet_world.fleet.net.gate("store", 0, other.port, source=node.name)
                 node.store_gate = gate
                 fleet_world.fleet.write(node)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -8,7 +8,7 @@
 import sys
 import uuid
 
-from shelfhaven.lab.ports import BLOCK, HOST, PortBlocks
+from shelfhaven.lab.ports import BLOCK_SIZE, HOST, PortBlocks
 
 RESERVE_PORTS = """
 import sys
@@ -19,7 +19,7 @@
 """
 
 # Each test has its own range, because several may run at once; all are below the ports of other listeners.
-RANGE_SIZE = 8 * BLOCK
+RANGE_SIZE = 8 * BLOCK_SIZE
 FIRST_RANGE, SECOND_RANGE, THIRD_RANGE, FOURTH_RANGE = (
     range(7_000 + index * RANGE_SIZE, 7_000 + (index + 1) * RANGE_SIZE) for index in range(4)
 )
@@ -41,12 +41,12 @@
 
 def test_two_processes_reserve_different_ports_even_if_nobody_listens() -> None:
     name = f"test-{uuid.uuid4().hex}"
-    process, other_ports = _start_other_process(name, FIRST_RANGE, BLOCK + 1)
+    process, other_ports = _start_other_process(name, FIRST_RANGE, BLOCK_SIZE + 1)
     blocks = _port_blocks(name, FIRST_RANGE)
     try:
-        own_ports = [blocks.take() for _ in range(2 * BLOCK)]
-        assert len(set(own_ports)) == 2 * BLOCK
-        assert len(other_ports) == BLOCK + 1
+        own_ports = [blocks.take() for _ in range(2 * BLOCK_SIZE)]
+        assert len(set(own_ports)) == 2 * BLOCK_SIZE
+        assert len(other_ports) == BLOCK_SIZE + 1
         assert not set(own_ports) & set(other_ports)
     finally:
         process.kill()
@@ -79,9 +79,9 @@
     first = blocks.take()
     reserved = {first}
     with contextlib.ExitStack() as stack:
-        for port in range(first + BLOCK - 3, first + BLOCK):
+        for port in range(first + BLOCK_SIZE - 3, first + BLOCK_SIZE):
             stack.enter_context(socket.socket()).bind((HOST, port))
-        for _ in range(BLOCK):
+        for _ in range(BLOCK_SIZE):
             port = blocks.take()
             assert port not in reserved
             reserved.add(port)
