--- a/shelfhaven/election/actor.py
+++ b/shelfhaven/election/actor.py
@@ -26,14 +26,14 @@
 from shelfhaven.membership.clock import boottime
 from shelfhaven.server.log import Log
 
-WAKE_DELAY_MIN = 0.002  # seconds
-RANKING_INTERVAL_MIN = 1.0  # seconds between two rankings
+MIN_WAKE_DELAY = 0.002  # seconds
+MIN_RANKING_INTERVAL = 1.0  # seconds between two rankings
 RANKING_PAUSE_FACTOR = 20.0  # the pause after a ranking, as a multiple of its duration
-LEADER_HEALTH_MIN = 0.5  # health below which a node should not lead
+MIN_LEADER_HEALTH = 0.5  # health below which a node should not lead
 HEALTH_CHECK_INTERVAL = 0.5  # seconds
 CLOSE_TIMEOUT = 1.0  # seconds in which `close` waits for tasks to be released and writes to be answered
 CLOSE_CHECK_INTERVAL = 0.02  # seconds
-TASKS_IN_LOG_MAX = 16  # tasks named in each list of a load log line
+MAX_TASKS_IN_LOG = 16  # tasks named in each list of a load log line
 
 
 class ElectionLoad(TypedDict):
@@ -160,7 +160,7 @@
         finally:
             self.ranking_task = None
         duration = time.monotonic() - started_at
-        self.next_ranking_at = time.monotonic() + max(RANKING_INTERVAL_MIN, RANKING_PAUSE_FACTOR * duration)
+        self.next_ranking_at = time.monotonic() + max(MIN_RANKING_INTERVAL, RANKING_PAUSE_FACTOR * duration)
         self.rankings_changed(rankings)
         fleet_size = max(len(nodes), self.environment.expected_nodes)
         self.tell(messages.CandidatesRanked(rankings, fleet_size))
@@ -314,13 +314,13 @@
             delay = self.elector.next_wake() - boottime()
             if delay < float("inf"):
                 loop = asyncio.get_running_loop()
-                self.wake_timer = loop.call_later(max(WAKE_DELAY_MIN, delay), self._wake)
+                self.wake_timer = loop.call_later(max(MIN_WAKE_DELAY, delay), self._wake)
 
     def _wake(self) -> None:
         self._carry_out_all(self.elector.wake(boottime()))
 
     def _check_health(self) -> None:
-        healthy = self.environment.health() >= LEADER_HEALTH_MIN
+        healthy = self.environment.health() >= MIN_LEADER_HEALTH
         if healthy != self.elector.healthy:
             self.tell(messages.HealthChanged(healthy))
         loop = asyncio.get_running_loop()
@@ -332,10 +332,10 @@
         states = Counter(task.state.value for task in self.elector.tasks.values())
         lease_id = self.elector.lease_id
         lease_left = None if lease_id is None else round(self.elector.safe_until() - boottime(), 2)
-        leases = list(self.task_runner.leases.items())[:TASKS_IN_LOG_MAX]
+        leases = list(self.task_runner.leases.items())[:MAX_TASKS_IN_LOG]
         return {
             "states": dict(states),
-            "holding": self.elector.led_tasks()[:TASKS_IN_LOG_MAX],
+            "holding": self.elector.led_tasks()[:MAX_TASKS_IN_LOG],
             "lease": lease_id or 0,
             "lease_left": lease_left,
             "acted": {name: lease.actions_started for name, lease in leases},
--- a/shelfhaven/election/candidate_ranking.py
+++ b/shelfhaven/election/candidate_ranking.py
@@ -21,7 +21,7 @@
 from shelfhaven.routing.hash_spread import hash_fraction
 
 MAX_LOAD_FACTOR = 1.25  # upper bound of a node's load, relative to its even share of the tasks
-CANDIDATES_MAX = 5  # per task; bounds the nodes that try to acquire it at the same time
+MAX_CANDIDATES = 5  # per task; bounds the nodes that try to acquire it at the same time
 
 
 class CandidateNode(NamedTuple):
@@ -46,7 +46,7 @@
 
 
 def _order_candidates(task: str, nodes: Sequence[str]) -> list[str]:
-    return heapq.nlargest(CANDIDATES_MAX, nodes, key=lambda node: (hash_fraction(node, f"duty/{task}"), node))
+    return heapq.nlargest(MAX_CANDIDATES, nodes, key=lambda node: (hash_fraction(node, f"duty/{task}"), node))
 
 
 def rank_candidates(tasks: Mapping[str, str], nodes: Iterable[CandidateNode]) -> dict[str, CandidateRanking]:
--- a/shelfhaven/election/elector_state.py
+++ b/shelfhaven/election/elector_state.py
@@ -34,7 +34,7 @@
 
 RENEWALS_PER_LEASE = 3.0  # per lease duration, so that the lease survives the loss of two
 REQUESTS_AT_START = 5.0  # of each node
-CHECKPOINT_INTERVAL_MIN = 0.05  # seconds between two checkpoints of a task
+MIN_CHECKPOINT_INTERVAL = 0.05  # seconds between two checkpoints of a task
 SMALL_FLEET_SIZE = 10  # nodes; up to this size a fleet does not spread its requests over time
 
 
@@ -133,7 +133,7 @@
     def checkpoint_interval(self) -> float:
         """Return the seconds between two checkpoints of a task that keep the fleet within their share."""
         min_interval = len(self.tasks) / (self.settings.store_requests_per_second * CHECKPOINTS_SHARE)
-        return max(CHECKPOINT_INTERVAL_MIN, min_interval)
+        return max(MIN_CHECKPOINT_INTERVAL, min_interval)
 
     def spread_start(self, now: float) -> None:
         """Delay the first requests at random, to spread the load of a fleet whose nodes start together."""
--- a/shelfhaven/election/leader_tasks.py
+++ b/shelfhaven/election/leader_tasks.py
@@ -13,8 +13,8 @@
 from shelfhaven.election.lease import LeaderLease
 from shelfhaven.errors import ShelfhavenError
 
-CONSECUTIVE_FAILURES_MAX = 8  # then the task is handed over to another node
-BACKOFF_FACTOR_MAX = 8.0  # upper bound of the factor by which failures lengthen the interval
+MAX_CONSECUTIVE_FAILURES = 8  # then the task is handed over to another node
+MAX_BACKOFF_FACTOR = 8.0  # upper bound of the factor by which failures lengthen the interval
 
 
 class TaskFailedError(ShelfhavenError):
@@ -53,14 +53,14 @@
 
     def interval(self, base: float) -> float:
         """Return the seconds until the next attempt; `base` is the interval without failures."""
-        return base * min(BACKOFF_FACTOR_MAX, 2.0**self.failures)
+        return base * min(MAX_BACKOFF_FACTOR, 2.0**self.failures)
 
     def succeeded(self) -> None:
         """Reset the count."""
         self.failures = 0
 
     def failed(self, error: Exception) -> None:
-        """Count a failure. Raises TaskFailedError after `CONSECUTIVE_FAILURES_MAX` of them."""
+        """Count a failure. Raises TaskFailedError after `MAX_CONSECUTIVE_FAILURES` of them."""
         self.failures += 1
-        if self.failures >= CONSECUTIVE_FAILURES_MAX:
+        if self.failures >= MAX_CONSECUTIVE_FAILURES:
             raise TaskFailedError(f"{self.failures} consecutive failures; last error: {error}")
--- a/tests/election/test_candidate_ranking.py
+++ b/tests/election/test_candidate_ranking.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from shelfhaven.election.candidate_ranking import (
-    CANDIDATES_MAX,
+    MAX_CANDIDATES,
     MAX_LOAD_FACTOR,
     CandidateNode,
     rank_candidates,
@@ -16,7 +16,7 @@
     before = rank_candidates(tasks, nodes)
     counts: dict[str, int] = {}
     for ranking in before.values():
-        assert len(ranking.order) == CANDIDATES_MAX
+        assert len(ranking.order) == MAX_CANDIDATES
         counts[ranking.order[0]] = counts.get(ranking.order[0], 0) + 1
     assert max(counts.values()) <= MAX_LOAD_FACTOR * 3 + 1
     after = rank_candidates(tasks, [node for node in nodes if node.name != "n7"])
