--- a/shelfhaven/election/administration.py
+++ b/shelfhaven/election/administration.py
@@ -106,7 +106,7 @@
     if holder:
         address = holder.address or "-"
         lines.append(f"current term: token {holder.fencing_token}, node {holder.node}, address {address}")
-    lines.append(f"stand by, in order: {', '.join(ranking.order) or 'nobody'}")
+    lines.append(f"candidates, in order: {', '.join(ranking.order) or 'nobody'}")
     return [*lines, f"checkpoint: {record.checkpoint!r}"]
 
 
--- a/tests/election/test_administration.py
+++ b/tests/election/test_administration.py
@@ -50,14 +50,14 @@
         "settle: n1",
         "fencing token 7, last leader: n1",
         "current term: token 7, node n1, address 127.0.0.1:4200",
-        "stand by, in order: n1, n2",
+        "candidates, in order: n1, n2",
         "checkpoint: '120'",
     ]
     never_led = TaskStatus("settle", None, TaskRecord(), 0)
     assert administration.format_detail(never_led, NO_CANDIDATES) == [
         "settle: -",
         "fencing token 0, last leader: nobody",
-        "stand by, in order: nobody",
+        "candidates, in order: nobody",
         "checkpoint: ''",
     ]
 
--- a/tests/election/test_fleet.py
+++ b/tests/election/test_fleet.py
@@ -230,7 +230,7 @@
             assert code == 0
             assert first.name in output
             output, _ = await run_command("show", "settle")
-            line = next(line for line in output.splitlines() if line.startswith("stand by"))
+            line = next(line for line in output.splitlines() if line.startswith("candidates"))
             candidates = line.partition(": ")[2].split(", ")
             assert sorted(candidates) == sorted(elections.fleet.nodes)
             other = next(name for name in candidates if name != first.name)
