--- a/shelfhaven/backends/uwsgi_pool.py
+++ b/shelfhaven/backends/uwsgi_pool.py
@@ -222,9 +222,8 @@
         address = self.addresses[send.backend]
         loop = asyncio.get_running_loop()
         stream = self._new_stream(address)
-        if (
-            stream is None
-        ):  # report it in a later iteration of the event loop, like any other end of an attempt
+        if stream is None:
+            # Report it in a later iteration of the event loop, like any other end of an attempt.
             loop.call_soon(self._end_attempt, send.attempt, AttemptResult.UNREACHABLE)
             return
         attempt = AttemptConnection(send.attempt, stream)
--- a/shelfhaven/backends/uwsgi_runner.py
+++ b/shelfhaven/backends/uwsgi_runner.py
@@ -127,10 +127,8 @@
             case messages.SampleGauges():
                 values = self.gauges.sample(self._total_load())
                 self.tell(messages.GaugesSampled(message.tag, values))
-            case (
-                messages.DeliverCallReply()
-                | messages.ProceedWithoutCall()
-            ):  # these runs make no downstream calls
+            case messages.DeliverCallReply() | messages.ProceedWithoutCall():
+                # The runs of this runner make no downstream calls.
                 self.log.event("no_word_for", action=type(message).__name__)
 
     def _launch(self, launch: messages.LaunchRun) -> None:
--- a/shelfhaven/server/messages.py
+++ b/shelfhaven/server/messages.py
@@ -56,12 +56,13 @@
 
 
 Answer: TypeAlias = ServedAnswer | RejectedAnswer | FailedAnswer | HealthAnswer
+# The names of the counters in the log.
 ANSWER_KINDS: dict[type[Answer], str] = {
     ServedAnswer: "served",
     RejectedAnswer: "refused",
     FailedAnswer: "failed",
     HealthAnswer: "healthy",
-}  # the names of the counters in the log
+}
 
 
 class Frontend(Protocol):
--- a/shelfhaven/simulation/translation.py
+++ b/shelfhaven/simulation/translation.py
@@ -29,6 +29,7 @@
 
 MAX_GAUGES = 4  # number of gauge fields in an `Elapsed` record
 
+# Actions whose only field is the request id.
 RequestIdAction: TypeAlias = (
     actions.StartRun
     | actions.StopRun
@@ -36,7 +37,7 @@
     | actions.ReleaseKey
     | actions.AnswerFromOriginal
     | actions.SkipCall
-)  # their only field is the request id
+)
 RequestAction: TypeAlias = RequestIdAction | actions.RejectRequest | actions.RetainKey | actions.PlaceCall
 
 REQUEST_ID_RECORDS: dict[type[RequestIdAction], str] = {
--- a/shelfhaven/state/settings.py
+++ b/shelfhaven/state/settings.py
@@ -17,9 +17,8 @@
 
     EACH = "each"  # once it is on disk
     EVERY = "every"  # at once; it is committed and synced after `sync_interval`
-    NONE = (
-        "none"  # at once; commits are not synced: they survive a crash of the process, but not of the machine
-    )
+    # At once; commits are not synced: they survive a crash of the process, but not of the machine.
+    NONE = "none"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/decision/test_queueing.py
+++ b/tests/decision/test_queueing.py
@@ -100,9 +100,8 @@
     controller.on_event(0.0, ServerStarted())
     controller.on_event(0.0, RequestArrived(1, 0, 1, 1.0))
     controller.on_event(0.0, RequestArrived(2, 0, 1, 1.0, start_within=0.2))
-    ended = controller.on_event(
-        1.0, RunFinished(1, Outcome.OK, 1.0)
-    )  # the core is free, but the timer is late
+    # The core is free, but the timer is late.
+    ended = controller.on_event(1.0, RunFinished(1, Outcome.OK, 1.0))
     assert not actions_of(ended, StartRun)
     assert [action.request_id for action in ended if isinstance(action, RejectRequest)] == [2]
 
--- a/tests/election/test_elector.py
+++ b/tests/election/test_elector.py
@@ -158,9 +158,8 @@
     node.tell(node.now + 1.0, messages.CheckpointReached("d", 1, "line 40"))
     node.tell(node.now + 1.1, messages.DrainStarted())
     assert messages.FinishTask("d", 1, SETTINGS.hand_over_timeout) in node.effects
-    node.tell(
-        node.now + 1.2, messages.WriteFailed("d", node.task.write_id, not_applied=True)
-    )  # the checkpoint was not saved
+    # The checkpoint was not saved.
+    node.tell(node.now + 1.2, messages.WriteFailed("d", node.task.write_id, not_applied=True))
     node.effects.clear()
     node.tell(node.now + 1.3, messages.TaskEnded("d", 1))
     node.read(node.now + 1.4, *node.entries(), 6)
--- a/tests/failover/test_measurements.py
+++ b/tests/failover/test_measurements.py
@@ -62,9 +62,8 @@
     answers, run_results = Counter(served=0), Counter[tuple[str, bool]]()
     for round_number in range(120):
         answers.update(served=5)  # the pool retries at servers of another zone
-        run_results.update(
-            {("look", False): round_number % 2, ("topup", True): round_number % 2}
-        )  # fewer than one run of each class per measurement
+        # Fewer than one run of each class per measurement.
+        run_results.update({("look", False): round_number % 2, ("topup", True): round_number % 2})
         digest = meter.measure(
             digest, NodeCounters(answers, run_results, 2, 40.0, 1.0, 1.0, has_local_backends=True)
         )
--- a/tests/membership/test_fleet_checker.py
+++ b/tests/membership/test_fleet_checker.py
@@ -20,11 +20,9 @@
         ([line(1, revision=5, entries=4, era=1), line(2, revision=9, entries=4)], {}, "after a newer"),
         ([line(1, revision=5, entries=10), line(2, revision=6, entries=5)], {}, "shrank"),
         ([line(n, revision=n, entries=10 - n) for n in range(1, 6)], {}, "shrank"),
-        (
-            [line(1, revision=5, entries=10, kept=6), line(9, revision=6, entries=4)],
-            {},
-            "shrank",
-        ),  # too soon
+        # Too soon.
+        ([line(1, revision=5, entries=10, kept=6), line(9, revision=6, entries=4)], {}, "shrank"),
+        # Five entries are removed too soon.
         (
             [
                 line(1, revision=5, entries=10, kept=1),
@@ -33,7 +31,7 @@
             ],
             {},
             "shrank",
-        ),  # five removed too soon
+        ),
         ([], {7: 99}, "99 asks"),
         ([{"at": 1, "server": "n1", "event": "unhandled", "message": "x"}], {}, "unhandled"),
     ],
--- a/tests/routing/test_outlier_detection.py
+++ b/tests/routing/test_outlier_detection.py
@@ -169,11 +169,8 @@
     ("latency", "signal", "state"),
     [
         (0.1, AttemptSignal.SUCCESS, BackendState.SLOW_START),
-        (
-            0.1,
-            AttemptSignal.REJECTED,
-            BackendState.SLOW_START,
-        ),  # the backend is reachable, and its limit shrinks
+        # The backend is reachable, and its limit shrinks.
+        (0.1, AttemptSignal.REJECTED, BackendState.SLOW_START),
         (0.1, AttemptSignal.FAILURE, BackendState.EJECTED),
         (0.1, AttemptSignal.UNREACHABLE, BackendState.EJECTED),
         (0.1, AttemptSignal.NONE, BackendState.HEALTH_CHECK),  # the next attempt checks it
--- a/tests/server/test_core_keys.py
+++ b/tests/server/test_core_keys.py
@@ -36,9 +36,8 @@
     first = harness.submit(1, PAY, "k")
     harness.finish_run(first)
     harness.advance_time(3.15)
-    harness.submit(
-        2, PAY, "k", received_at=5000.0 + harness.now - 0.2
-    )  # received before the end of the TTL, read after it
+    # Received before the end of the TTL, read after it.
+    harness.submit(2, PAY, "k", received_at=5000.0 + harness.now - 0.2)
     assert harness.launched_attempts() == [first]
     assert [type(answer) for answer in harness.answers(2)] == [messages.ServedAnswer]
     second = harness.submit(3, PAY, "k")
--- a/tests/server/test_timers.py
+++ b/tests/server/test_timers.py
@@ -57,9 +57,8 @@
         assert bench.tokens() == [2, 3, 1]
         assert {event.gauges for event in bench.fired} == {(0.5,)}
         assert bench.timers.next_due() == 109.0
-        assert (
-            bench.process_emitted_calls == 0
-        )  # the core handles the events after the message with the gauges
+        # The core handles the events after the message with the gauges.
+        assert bench.process_emitted_calls == 0
 
     _run(check)
 
--- a/tests/server/test_unknown_clients.py
+++ b/tests/server/test_unknown_clients.py
@@ -56,9 +56,8 @@
             server.agent.on_launch = server.agent.keep_running
             busy = await server.router()
             attempt_id = busy.request(1)
-            idle_routers = [
-                await server.router() for _ in range(19)
-            ]  # these and the busy one are the maximum
+            # With the busy router, these reach the connection limit.
+            idle_routers = [await server.router() for _ in range(19)]
             for number, idle_router in enumerate(idle_routers[:10]):
                 idle_router.request(1, "unheard-of", call=f"{number + 100:016x}")
                 await idle_router.answer(1)
@@ -66,9 +65,8 @@
             waiting = await server.router()
             waiting.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             assert (await waiting.answer(2))["result"]["green"] is True
-            assert not any(
-                idle_router.ended for idle_router in idle_routers[:10]
-            )  # those that never sent a request are closed first
+            # Connections that never sent a request are closed first.
+            assert not any(idle_router.ended for idle_router in idle_routers[:10])
             assert any(idle_router.ended for idle_router in idle_routers[10:])
             server.agent.passed(attempt_id)
             assert "result" in await busy.answer(1)
