--- a/shelfhaven/decision/caller_table.py
+++ b/shelfhaven/decision/caller_table.py
@@ -19,8 +19,7 @@
 # Ceiling of the headway counter, in minimum average headways: the longest burst that rate.html allows.
 CEILING_HEADWAYS = 8.0
 
-# Maximum number of entries: rate.html has "a few hundred".  Measurements with a longer table showed no
-# difference.
+# Maximum number of entries: rate.html has "a few hundred".
 MAX_CALLERS = 600
 
 # Fraction by which the heaviest caller's share decays with each arrival, so that it covers about the last 64
