--- a/shelfhaven/lab/backend_stub.py
+++ b/shelfhaven/lab/backend_stub.py
@@ -1,6 +1,7 @@
-"""Stub of a uwsgi backend: workers that take time, and faults on request.
+"""Stub of a uwsgi backend with a limited number of workers, simulated run times and injected faults.
 
-It shares no state with the node that is tested, which is judged by the log of what the stub executed.
+The stub shares no state with the node under test. Checkers compare the node's answers with the stub's log of
+executed runs.
 """
 
 from __future__ import annotations
@@ -18,29 +19,29 @@
 from shelfhaven.protocol import http, uwsgi
 
 READ_SIZE = 1 << 16  # bytes
-MAX_BLOCK_BYTES = 1 << 16  # of a request's variables
-MAX_BODY_BYTES = 1 << 24  # of a request
-BACKLOG = 1024  # connections that wait to be accepted
-SATURATION_STEP = 0.05  # seconds after which the number of requests in progress is read again
-RESET_DELAY = 0.05  # seconds in which the last bytes arrive before a reset
-LINGER_ZERO = struct.pack("ii", 1, 0)  # a socket that is closed with this SO_LINGER is reset
+MAX_BLOCK_BYTES = 1 << 16  # limit on the block of uwsgi variables of a request
+MAX_BODY_BYTES = 1 << 24  # limit on the body of a request
+BACKLOG = 1024  # connections in the listen queue
+SATURATION_STEP = 0.05  # seconds between updates of the slowdown by the requests in progress
+RESET_DELAY = 0.05  # seconds before a reset, so that the peer receives the last bytes first
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER value: closing the socket resets the connection
 
 
 class StubMode(Enum):
-    """What a stub does with a request."""
+    """How a stub handles requests."""
 
     SERVE = "serve"
-    REJECT = "reject"  # 503, nothing ran
-    HANG = "hang"  # takes it, executes nothing, answers nothing
-    RUN_AND_CLOSE = "run and close"  # executes it and ends the connection without an answer
-    FAIL = "fail"  # executes it and answers 500
-    RAW = "raw"  # executes it and answers with the bytes in `raw_response`
-    RAW_AND_RESET = "raw and reset"  # the same, and then the connection is reset
+    REJECT = "reject"  # answers 503 with X-Not-Run and executes nothing
+    HANG = "hang"  # accepts the request, executes nothing and never answers
+    RUN_AND_CLOSE = "run and close"  # executes the request and closes the connection without an answer
+    FAIL = "fail"  # executes the request and answers 500
+    RAW = "raw"  # executes the request and sends the bytes in `raw_response`
+    RAW_AND_RESET = "raw and reset"  # like RAW, then resets the connection
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutedRun:
-    """One run that a stub executed; `at` is the Unix time of its start."""
+    """One run that a stub executed. `at`: the Unix time of its start."""
 
     backend: str
     at: float
@@ -55,22 +56,26 @@
     """One uwsgi backend.
 
     Attributes:
-        name: its name in the log.
-        log: of all stubs that share it, in the order in which runs started.
-        workers: requests that it works on at a time.
-        mean_duration: seconds of a run; 0 for no time at all.
-        seed: of the durations.
-        mode: what it does with a request.
-        slowdown: factor on the duration.
-        saturation: requests in progress beyond which each takes longer by the square of the excess; 0 for no
-            such bound.
-        failing_prefix: requests whose path begins so are executed and answered with 500, whatever the mode.
-        raw_response: bytes of the answer in the raw modes.
-        port: where it listens; 0 before its first start.
-        requests: all that came, executed or not.
-        release: runs end only while it is set.
-        in_progress: requests in progress.
-        peak_in_progress: the largest number of them so far.
+        name: the backend's name in the log.
+        log: the executed runs of all stubs that share this list, in order of their start.
+        workers: number of runs executed concurrently.
+        mean_duration: mean duration of a run in seconds; 0 ends runs at once.
+        seed: seed of the random durations.
+        mode: how requests are handled.
+        slowdown: factor by which durations are multiplied.
+        saturation: number of requests in progress above which runs slow down by the square of the ratio of
+            the two numbers; 0 disables the slowdown.
+        failing_prefix: requests whose path starts with this prefix are executed and answered with 500, unless
+            the mode rejects them, leaves them unanswered or sends a raw response.
+        raw_response: response bytes in the modes RAW and RAW_AND_RESET.
+        port: the listening port; 0 before the first start.
+        server: the listening server while the stub is started.
+        writers: the open connections.
+        requests: all requests received, executed or not.
+        worker_slots: limits concurrent runs to `workers`.
+        release: runs end only while this event is set.
+        in_progress: number of requests in progress.
+        peak_in_progress: largest number of requests in progress so far.
     """
 
     name: str
@@ -98,16 +103,16 @@
 
     @property
     def address(self) -> str:
-        """Its address, as in an operator's file."""
+        """The address, as written in the operator configuration."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
-        """Listen, at the address it had before if it had one."""
+        """Start to listen; a restarted stub reuses its previous port."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, backlog=BACKLOG)
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Crash: connects are refused, and connections break."""
+        """Simulate a crash: stop listening and abort all connections."""
         if self.server:
             self.server.close()
             self.server = None
@@ -115,23 +120,23 @@
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection, which carries one request."""
+        """Serve the single request of a connection."""
         self.writers.add(writer)
         parser = uwsgi.RequestParser(max_block_bytes=MAX_BLOCK_BYTES, max_body_bytes=MAX_BODY_BYTES)
         with contextlib.suppress(ConnectionError, uwsgi.StreamError):
-            found: list[uwsgi.Request] = []
-            while not found and (data := await reader.read(READ_SIZE)):
-                found = parser.feed(data)
-            if found:
-                self.requests.append(found[0])
-                await self._respond(found[0], reader, writer)
+            parsed: list[uwsgi.Request] = []
+            while not parsed and (data := await reader.read(READ_SIZE)):
+                parsed = parser.feed(data)
+            if parsed:
+                self.requests.append(parsed[0])
+                await self._respond(parsed[0], reader, writer)
         self.writers.discard(writer)
         writer.close()
 
     async def _respond(
         self, request: uwsgi.Request, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        mode = self.mode  # a change of the mode does not touch what is in progress
+        mode = self.mode  # later changes of the mode do not affect a request in progress
         if mode is StubMode.REJECT:
             writer.write(http.encode_response(503, [("X-Not-Run", "1")], b"", close=True))
             return
@@ -150,13 +155,13 @@
             await self._respond_raw(mode, writer)
             return
         path = request.variables["PATH_INFO"]
-        has_failing_prefix = bool(self.failing_prefix) and path.startswith(self.failing_prefix)
-        status = 500 if mode is StubMode.FAIL or has_failing_prefix else 200
+        is_failing_path = bool(self.failing_prefix) and path.startswith(self.failing_prefix)
+        status = 500 if mode is StubMode.FAIL or is_failing_path else 200
         writer.write(http.encode_response(status, [], result_for(request.body, path), close=True))
         await writer.drain()
 
     async def _execute(self, request: uwsgi.Request) -> None:
-        """Log a request as executed, and take its time, once a worker is free."""
+        """Wait for a free worker, log the request as executed and simulate its run time."""
         variables = request.variables
         async with self.worker_slots:
             path = variables["PATH_INFO"]
@@ -164,21 +169,24 @@
             attempt_id = variables.get("HTTP_X_REQUEST_ID", "")
             self.log.append(ExecutedRun(self.name, time.time(), path, key, request.body, attempt_id))
             if self.mean_duration > 0:
-                await self._take_time(self.slowdown * self.mean_duration * (0.5 + self.random.random()))
+                await self._simulate_run(self.slowdown * self.mean_duration * (0.5 + self.random.random()))
             await self.release.wait()
 
-    async def _take_time(self, seconds: float) -> None:
-        """Work that advances the slower the more is in progress: beyond saturation the throughput falls."""
+    async def _simulate_run(self, seconds: float) -> None:
+        """Sleep for the duration of a run, extended while the backend is saturated.
+
+        Above saturation each run slows down by the square of the load ratio, so the throughput falls.
+        """
         if not self.saturation:
             await asyncio.sleep(seconds)
             return
         loop = asyncio.get_running_loop()
-        left = seconds
-        while left > 0:
-            stretch = max(1.0, self.in_progress / self.saturation) ** 2
-            before = loop.time()
-            await asyncio.sleep(min(SATURATION_STEP, left * stretch))
-            left -= (loop.time() - before) / stretch
+        remaining = seconds
+        while remaining > 0:
+            delay_factor = max(1.0, self.in_progress / self.saturation) ** 2
+            sleep_start = loop.time()
+            await asyncio.sleep(min(SATURATION_STEP, remaining * delay_factor))
+            remaining -= (loop.time() - sleep_start) / delay_factor
 
     async def _respond_raw(self, mode: StubMode, writer: asyncio.StreamWriter) -> None:
         writer.write(self.raw_response)
@@ -191,13 +199,13 @@
 
 
 def result_for(body: bytes, path: str) -> bytes:
-    """The result of a run, which names the request that it answers."""
+    """Return the result of a run; it contains the request's body or path, which identifies the request."""
     return b"made for " + (body or path.encode())
 
 
 @contextlib.asynccontextmanager
 async def started(backends: list[BackendStub]) -> AsyncIterator[list[BackendStub]]:
-    """Start backends, and stop them with the context."""
+    """Start the backends and stop them at the end of the context."""
     for backend in backends:
         await backend.start()
     try:
--- a/shelfhaven/lab/callers.py
+++ b/shelfhaven/lab/callers.py
@@ -1,6 +1,6 @@
-"""Clients for tests and the demo: a router's connection (JSON-RPC) and a gateway's requests (uwsgi).
+"""Callers for tests and the demo: a router's JSON-RPC connection and a gateway's uwsgi requests.
 
-Contract: they own their sockets and return what arrives on them. They check no answer: checker.py does.
+The callers own their sockets and return what they receive. They do not validate answers; checker.py does.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 from shelfhaven.lab.waiting import wait_until
 from shelfhaven.protocol import jsonrpc, uwsgi
 
-Message: TypeAlias = dict[str, Any]  # of JSON-RPC, as decoded
+Message: TypeAlias = dict[str, Any]  # a decoded JSON-RPC message
 
-SOON = 10.0  # seconds; a step that takes longer has failed
+SOON = 10.0  # seconds; time limit of one step of a test
 POLL_INTERVAL_S = 0.002
 READ_SIZE = 64 * 1024  # bytes
-ENDED_UNANSWERED = "the connection ended without the answer"
-NO_STATUS = 0  # the connection ended without a complete response
+ENDED_UNANSWERED = "the connection ended before the answer arrived"
+NO_STATUS = 0  # status of a `Reply` if no complete response arrived
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until the condition holds.
+    """Wait until the condition is true.
 
     Raises:
-        TimeoutError: it does not within `SOON`.
+        TimeoutError: the condition did not become true within `SOON`.
     """
     await wait_until(condition, SOON, POLL_INTERVAL_S)
 
@@ -42,9 +42,10 @@
     """One connection of a router.
 
     Attributes:
-        got: all messages that arrived, decoded.
-        ended: whether the node closed the connection.
-        awaited: futures of the answers that callers wait for, by id.
+        got: all messages received so far, decoded.
+        ended: whether the connection has ended.
+        pending: futures of the answers that `wait_for_answer` waits for, by request id.
+        task: the task that reads from the connection.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -54,7 +55,7 @@
         self.got: list[Message] = []
         self.ended = False
         self._shutdown_received = False
-        self.awaited: dict[int, asyncio.Future[Message]] = {}
+        self.pending: dict[int, asyncio.Future[Message]] = {}
         self.task = asyncio.get_running_loop().create_task(self._read())
 
     async def _read(self) -> None:
@@ -69,27 +70,27 @@
             self._end()
 
     def _end(self) -> None:
-        """Record the end of the connection, and fail what waits for an answer."""
+        """Record the end of the connection and fail all pending answers."""
         self.ended = True
-        for future in self.awaited.values():
+        for future in self.pending.values():
             if not future.done():
                 future.set_exception(ConnectionError(ENDED_UNANSWERED))
-        self.awaited.clear()
+        self.pending.clear()
 
     def _handle_message(self, message: Message) -> None:
         if message.get("method") == "shutdown":
             self._shutdown_received = True
-        awaited = self.awaited.pop(message.get("id") or 0, None)
-        if awaited and not awaited.done():
-            awaited.set_result(message)
+        future = self.pending.pop(message.get("id") or 0, None)
+        if future and not future.done():
+            future.set_result(message)
 
     def send(self, message: object) -> None:
-        """Send a message as JSON, or the bytes of a body as they are."""
+        """Send one frame; a body given as bytes is sent unchanged, anything else is encoded as JSON."""
         body = message if isinstance(message, bytes) else orjson.dumps(message)
         self.writer.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
     def request(self, id_: int, method: str = "look", **changes: object) -> str:
-        """Send a request with parameters changed; the attempt's id is returned."""
+        """Send a request with the default parameters, updated by `changes`; return its `call` parameter."""
         params: dict[str, object] = {
             "call": f"{id_:016x}",
             "recv": int(time.time() * 1000),
@@ -103,39 +104,41 @@
         return str(params["call"])
 
     def of(self, id_: int) -> list[Message]:
-        """All messages with this id, in order."""
+        """Return all messages received with this id, in order of arrival."""
         return [message for message in self.got if message.get("id") == id_]
 
     async def answer(self, id_: int) -> Message:
-        """The first answer to this request, once it has arrived."""
+        """Wait for the first answer to this request and return it."""
         await until(lambda: self.of(id_))
         return self.of(id_)[0]
 
     async def wait_for_answer(self, id_: int) -> Message:
-        """The answer to a request just sent; unlike `answer` it does not search all messages.
+        """Wait for the answer to a request that was just sent.
+
+        Unlike `answer` this does not search all messages received so far.
 
         Raises:
-            ConnectionError: the connection ended before the answer came.
+            ConnectionError: the connection ended before the answer arrived.
         """
         if self.ended:
             raise ConnectionError(ENDED_UNANSWERED)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self.awaited[id_] = future
+        self.pending[id_] = future
         return await future
 
     def received_shutdown(self) -> bool:
-        """Whether the node announced its shutdown."""
+        """Return whether the node has announced its shutdown."""
         return self._shutdown_received
 
     async def close(self) -> None:
-        """Close the connection and wait for the end of its reader."""
+        """Close the connection and wait until the reading task has ended."""
         self.writer.close()
         await self.task
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The response to a gateway; `NO_STATUS`: the connection ended before it was complete."""
+    """A response to a gateway. `status`: `NO_STATUS` if the connection ended before it was complete."""
 
     status: int
     fields: Mapping[str, str]
@@ -143,12 +146,12 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether it promises that nothing ran."""
+        """Whether the response states that the request did not run."""
         return self.fields.get("x-not-run") == "1"
 
     @property
     def retry_after(self) -> float:
-        """Seconds of Retry-After; 0 without it."""
+        """The Retry-After in seconds; 0 if there is none."""
         return float(self.fields.get("x-retry-after-ms", 0)) / 1000
 
 
@@ -157,33 +160,33 @@
 
 
 class Connection(NamedTuple):
-    """Both directions of a connection."""
+    """The reader and writer of a connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
 
 async def connect(listener: Address | Path) -> Connection:
-    """Connect to a listener on an address or a Unix socket."""
+    """Connect to a listener at an address or on a Unix socket."""
     if isinstance(listener, Path):
         return Connection(*await asyncio.open_unix_connection(str(listener)))
     return Connection(*await asyncio.open_connection(listener.host, listener.port))
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Reply:
-    """Read one response; `LOST` if the connection ends before it is complete."""
+    """Read one response; return `LOST` if it is malformed or the connection ends before it is complete."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        first, *lines = head.rstrip().split("\r\n")
-        fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
+        status_line, *field_lines = head.rstrip().split("\r\n")
+        fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in field_lines)}
         body = await reader.readexactly(int(fields.get("content-length", 0)))
-        return Reply(int(first.split()[1]), fields, body)
+        return Reply(int(status_line.split()[1]), fields, body)
     except (OSError, asyncio.IncompleteReadError, ValueError):
         return LOST
 
 
 def variables(method: str, path: str, **more: str) -> dict[str, str]:
-    """The uwsgi variables that a gateway sends for a request."""
+    """Return the uwsgi variables that a gateway sends for a request."""
     path, _, query = path.partition("?")
     return {
         "REQUEST_METHOD": method, "REQUEST_URI": path, "PATH_INFO": path, "QUERY_STRING": query,
@@ -193,7 +196,7 @@
 
 
 async def ask(listener: Address | Path, method: str, path: str, body: bytes = b"", **more: str) -> Reply:
-    """Send one request as a gateway does, on a connection of its own, and return the response."""
+    """Send one request as a gateway, on a new connection, and return the response."""
     try:
         reader, writer = await connect(listener)
     except OSError:
--- a/shelfhaven/lab/crash_disk.py
+++ b/shelfhaven/lab/crash_disk.py
@@ -1,10 +1,10 @@
-"""A disk in memory that loses what was not synced: a file layer (VFS) of SQLite, by apsw.
+"""An in-memory disk that loses unsynced writes on a power loss: a virtual file system (VFS) for SQLite.
 
-Owns the bytes, what of them is durable, and the faults: a loss of power at a call, and calls that fail. It
-must never know what the bytes mean.
+The VFS is registered through apsw. The disk holds the content of each file, tracks which changes are durable
+and injects faults: a power loss at a given call, or calls that fail. It is independent of the file format.
 
-After a loss of power each file is what was synced last with *some* of the writes since: none, all, those up
-to a point, a random selection (a disk may reorder them), or all with the last one torn in half.
+After a power loss a file consists of its last synced content and *some* of the changes made since: none, all,
+those up to some point, a random subset (a disk may reorder writes), or all with the last write torn in half.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Bytes that are written at an offset."""
+    """A write of `data` at `offset`."""
 
     offset: int
     data: bytes
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncate:
-    """A new size that is no larger than the old one."""
+    """A truncation to `size`, which is at most the current size."""
 
     size: int
 
@@ -41,7 +41,7 @@
 
 
 class Survival(Enum):
-    """Which of the changes since the last sync are on the disk after a loss of power."""
+    """Which of the changes since the last sync survive a power loss."""
 
     NONE = "none"
     ALL = "all"
@@ -52,14 +52,20 @@
 
 @dataclass(slots=True)
 class CrashFile:
-    """One file: what is durable, what is read, and the changes between them."""
+    """One file.
+
+    Attributes:
+        durable: the content at the last sync.
+        content: the current content, which reads return.
+        changes: the changes since the last sync.
+    """
 
     durable: bytes = b""
     content: bytearray = field(default_factory=bytearray)
     changes: list[Change] = field(default_factory=list)
 
     def change(self, change: Change) -> None:
-        """Apply a change that is not durable yet."""
+        """Apply a change, which is not durable before the next `sync`."""
         _apply(self.content, change)
         self.changes.append(change)
 
@@ -79,17 +85,28 @@
 
 
 class CrashDisk:
-    """All files, and the faults to come. Calls that change something are counted."""
+    """The files of a disk and the faults to inject.
+
+    Attributes:
+        files: all files by name.
+        calls: number of modifying calls so far: writes, truncations, syncs and deletions.
+        power_loss_at: number of the first modifying call that fails with a power loss, as do all later ones.
+        failing_calls: the errors to raise, by number of the modifying call.
+    """
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
         self.files = {name: CrashFile(raw, bytearray(raw)) for name, raw in (files or {}).items()}
         self.calls = 0
-        self.power_loss_at: int | None = None  # number of the first call that fails by it
-        self.failing_calls: dict[int, type[apsw.Error]] = {}  # by number
-        self._vfs = _Vfs(self)
+        self.power_loss_at: int | None = None
+        self.failing_calls: dict[int, type[apsw.Error]] = {}
+        self._vfs = _CrashVfs(self)
 
     def count_call(self) -> None:
-        """Count a call that changes something. Raises the fault that is due."""
+        """Count a modifying call.
+
+        Raises:
+            apsw.Error: a fault is due at this call.
+        """
         self.calls += 1
         if self.power_loss_at is not None and self.calls >= self.power_loss_at:
             raise apsw.IOError("power loss")
@@ -97,14 +114,14 @@
             raise error("injected fault")
 
     def images_after_power_loss(self, random: Random) -> list[dict[str, bytes]]:
-        """The possible contents of the disk after a power loss, by file name."""
+        """Return one disk image for each `Survival`: the content of each file by name."""
         return [
             {name: _surviving(file, survival, random) for name, file in self.files.items()}
             for survival in Survival
         ]
 
     def close(self) -> None:
-        """Unregister the file layer."""
+        """Unregister the VFS."""
         self._vfs.unregister()
 
 
@@ -124,36 +141,36 @@
     return bytes(content)
 
 
-class _Vfs(apsw.VFS):
-    """SQLite's view of the disk. The names of the methods are SQLite's."""
+class _CrashVfs(apsw.VFS):
+    """The VFS that SQLite uses. The method names are defined by apsw."""
 
     def __init__(self, disk: CrashDisk) -> None:
         self._disk = disk
         super().__init__(VFS_NAME, base="")
 
     def xOpen(self, name: str | apsw.URIFilename | None, flags: list[int]) -> apsw.VFSFile:
-        """Open a file, which is created if there is none."""
+        """Open a file; create it if it does not exist."""
         path = name.filename() if isinstance(name, apsw.URIFilename) else name
-        flags[1] = flags[0]  # all requested flags are granted
+        flags[1] = flags[0]  # the flags in effect are those requested
         opened = _OpenFile(self._disk, Path(path or UNNAMED_FILE).name)
-        return cast(apsw.VFSFile, opened)  # apsw takes any object that has the methods
+        return cast(apsw.VFSFile, opened)  # apsw accepts any object with these methods
 
     def xDelete(self, name: str, _sync_folder: bool) -> None:
-        """Remove a file."""
+        """Delete a file."""
         self._disk.count_call()
         self._disk.files.pop(Path(name).name, None)
 
     def xAccess(self, name: str, _flags: int) -> bool:
-        """Whether a file exists."""
+        """Return whether a file exists."""
         return Path(name).name in self._disk.files
 
     def xFullPathname(self, name: str) -> str:
-        """The name itself: the disk has no folders."""
+        """Return the name unchanged; the disk has no directories."""
         return name
 
 
 class _OpenFile:
-    """SQLite's view of an open file."""
+    """An open file as SQLite uses it. The method names are defined by apsw."""
 
     def __init__(self, disk: CrashDisk, name: str) -> None:
         self._disk = disk
@@ -165,19 +182,19 @@
         return self._disk.files.setdefault(self._name, CrashFile())
 
     def excepthook(self, *_: object) -> None:
-        """Print nothing: the faults are injected."""
+        """Suppress apsw's report of exceptions, as the faults are injected."""
 
     def xRead(self, amount: int, offset: int) -> bytes:
-        """Bytes at an offset; fewer at the end of the file."""
+        """Read bytes at an offset; return fewer at the end of the file."""
         return bytes(self._file.content[offset : offset + amount])
 
     def xWrite(self, data: bytes, offset: int) -> None:
-        """Write bytes at an offset; not durable before `xSync`."""
+        """Write bytes at an offset; they are not durable before `xSync`."""
         self._disk.count_call()
         self._file.change(Write(offset, bytes(data)))
 
     def xTruncate(self, size: int) -> None:
-        """Cut the file to a size."""
+        """Truncate the file."""
         self._disk.count_call()
         self._file.change(Truncate(size))
 
@@ -188,30 +205,30 @@
         file.sync()
 
     def xFileSize(self) -> int:
-        """The size of the file in bytes."""
+        """Return the size of the file in bytes."""
         return len(self._file.content)
 
     def xLock(self, _level: int) -> None:
-        """Nothing: one process alone opens the file."""
+        """Do nothing; only one process opens the file."""
 
     def xUnlock(self, _level: int) -> None:
-        """Nothing: there are no locks."""
+        """Do nothing; there are no locks."""
 
     def xCheckReservedLock(self) -> bool:
-        """False: nobody else has a lock."""
+        """Return False; no other process holds a lock."""
         return False
 
     def xFileControl(self, _op: int, _pointer: int) -> bool:
-        """False: no control operation is supported."""
+        """Return False; no control operation is supported."""
         return False
 
     def xSectorSize(self) -> int:
-        """The size of a sector in bytes."""
+        """Return the sector size in bytes."""
         return SECTOR_BYTES
 
     def xDeviceCharacteristics(self) -> int:
-        """No guarantee beyond those of any device."""
+        """Return 0; the device makes no special guarantees."""
         return 0
 
     def xClose(self) -> None:
-        """Nothing: the disk keeps the file."""
+        """Do nothing; the disk retains the file."""
--- a/shelfhaven/lab/demo.py
+++ b/shelfhaven/lab/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a node between backend stubs, gateways, routers and a proxy, beyond capacity.
+"""The command `demo`: an overloaded node between callers of all protocols and backend stubs.
 
-Contract: the table is computed from the logs of callers and backends, and checker.py checks the rules on the
-same logs. Neither reads what the node reports of itself.
+The printed table is computed from the logs of the callers and the backends, and checker.py checks the
+guarantees on the same logs. Neither uses the node's own logs or counters.
 """
 
 from __future__ import annotations
@@ -29,19 +29,21 @@
 from shelfhaven.protocol import jsonrpc
 
 SERVERS = 4
-WORKERS = 4  # of each server
+WORKERS = 4  # per server
 MEAN_RUN_S = 0.1
-CAPACITY = (SERVERS + 1) * WORKERS / MEAN_RUN_S  # requests a second, of the backends and behind the proxy
+# Requests per second of the backends and the service behind the proxy.
+CAPACITY = (SERVERS + 1) * WORKERS / MEAN_RUN_S
 PROTOCOLS = ("uwsgi", "jsonrpc", "extproc")
-TOPUP_FRACTION = 0.3  # of requests
-REPEATED_FRACTION = 0.3  # of top-ups, over another protocol, answered or not
+TOPUP_FRACTION = 0.3  # fraction of requests that are top-ups
+# Fraction of top-ups that are sent again over another protocol, whether or not the first was answered.
+REPEATED_FRACTION = 0.3
 MAX_REPEAT_DELAY_S = 3.0
-OBJECTIVE_AND_DEADLINE_S = {"balance": (0.5, 1.5), "topup": (2.0, 4.0)}  # as in the file below
+OBJECTIVE_AND_DEADLINE_S = {"balance": (0.5, 1.5), "topup": (2.0, 4.0)}  # as in OPERATOR_FILE
 ROUTERS = 4
 GATEWAYS = 4
 MAX_PRINTED_VIOLATIONS = 20
-DYING_AT = 0.4  # fraction of the time at which a server dies
-BACK_AT = 0.7  # fraction of the time at which it is back
+STOP_AT = 0.4  # fraction of the duration after which a server stops
+RESTART_AT = 0.7  # fraction of the duration after which the server restarts
 KIND_OF_ERROR_CODE = {jsonrpc.REJECTED: AnswerKind.REJECTED, jsonrpc.FAILED: AnswerKind.FAILED}
 OPERATOR_FILE = """
 node "demo" stop="2s"
@@ -70,12 +72,18 @@
 """
 
 
-class Load:
-    """Callers of all protocols; each attempt and its answers are recorded.
+class LoadGenerator:
+    """Generates requests over all protocols and records each attempt and its answers.
 
     Attributes:
+        gateways: the address for gateways.
+        routers: the address for routers.
+        proxy: the proxy, which consults the node.
         upstream_workers: limits the concurrency of the service behind the proxy.
-        request_count: requests begun so far; the name of a request contains its number.
+        attempts: all attempts so far.
+        connections: the routers' connections.
+        request_count: number of requests started so far; a request's name contains its number.
+        tasks: the attempts in progress.
     """
 
     def __init__(self, gateways: Address, routers: Address, proxy: ProxyStub, seed: int) -> None:
@@ -91,12 +99,12 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Open the routers' connections."""
+        """Open the connections of the routers."""
         for _ in range(ROUTERS):
             self.connections.append(Router(*await connect(self.routers)))
 
-    def begin(self) -> None:
-        """Begin one request over a random protocol; some top-ups are repeated over another."""
+    def start_request(self) -> None:
+        """Start a request over a random protocol; some top-ups are sent again over another protocol."""
         self.request_count += 1
         name = f"r{self.request_count}"
         is_topup = self.random.random() < TOPUP_FRACTION
@@ -109,7 +117,7 @@
             self._spawn(self._attempt(protocols[1], name, is_topup, tenant, delay))
 
     async def finish(self) -> None:
-        """Wait until every attempt has its answer or has timed out."""
+        """Wait until every attempt has been answered or has timed out."""
         while self.tasks:
             await asyncio.gather(*self.tasks)
 
@@ -138,7 +146,7 @@
             more["HTTP_IDEMPOTENCY_KEY"] = attempt.key
         reply = LOST
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_patience(attempt)):
+            async with asyncio.timeout(_reply_timeout(attempt)):
                 reply = await ask(self.gateways, _method(attempt), attempt.path, attempt.body, **more)
         if reply is NOT_REACHED:
             attempt.record_answer(time.time(), AnswerKind.NOT_REACHED)
@@ -146,7 +154,7 @@
             attempt.record_answer(time.time(), kind_of(reply), reply.body, reply.retry_after)
 
     async def _serve_upstream(self, exchange: ProxiedRequest) -> UpstreamResponse:
-        """Answer as the service behind the proxy, which has as many workers as a backend."""
+        """Act as the service behind the proxy, which has as many workers as a backend."""
         async with self.upstream_workers:
             await asyncio.sleep(MEAN_RUN_S * (0.5 + self.random.random()))
         return UpstreamResponse(200, result_for(exchange.body, exchange.path))
@@ -165,10 +173,10 @@
     async def _attempt_by_router(self, attempt: Attempt) -> None:
         connection = self.random.choice(self.connections)
         if connection.ended or connection.received_shutdown():
-            # a router would choose another node
+            # a real router would choose another node
             attempt.record_answer(time.time(), AnswerKind.NOT_REACHED)
             return
-        request_id = len(self.attempts)  # new on this connection: attempts are numbered over all of them
+        request_id = len(self.attempts)  # unique, as attempts are numbered across all connections
         params = {
             "src": self.connections.index(connection) + 1,
             "org": attempt.tenant,
@@ -179,7 +187,7 @@
         body = base64.b64encode(attempt.body).decode()
         connection.request(request_id, attempt.class_name, body=body, **params)
         with contextlib.suppress(TimeoutError, ConnectionError):
-            async with asyncio.timeout(_patience(attempt)):
+            async with asyncio.timeout(_reply_timeout(attempt)):
                 _record_message(attempt, await connection.wait_for_answer(request_id))
 
 
@@ -197,13 +205,13 @@
     return "POST" if attempt.key else "GET"
 
 
-def _patience(attempt: Attempt) -> float:
-    """Seconds that a caller waits for an answer: longer than the deadline allows."""
+def _reply_timeout(attempt: Attempt) -> float:
+    """Return how long a caller waits for an answer, in seconds: 1 s beyond the deadline."""
     return attempt.deadline_at - attempt.sent_at + 1
 
 
 def _record_message(attempt: Attempt, message: Message) -> None:
-    """Record an answer of the routers' protocol."""
+    """Record a JSON-RPC answer to a router."""
     error = message.get("error", {})
     retry_after = error.get("data", {}).get("pushback", 0.0) / 1000
     body = base64.b64decode(message.get("result", {}).get("body", ""))
@@ -214,7 +222,7 @@
 
 
 def kind_of(reply: Reply) -> AnswerKind:
-    """The kind of answer that an HTTP response is."""
+    """Return the kind of answer of a gateway's response."""
     if reply.status == 200:
         return AnswerKind.SERVED
     if reply.status == 503 and reply.not_run:
@@ -223,7 +231,7 @@
 
 
 def table(attempts: list[Attempt], runs: list[ExecutedRun]) -> str:
-    """A table of requests and their answers by protocol, and how many keyed requests ran twice."""
+    """Format a table of attempts and answers by protocol, and the number of keyed requests that ran twice."""
     rows = [f"{'':10}{'asked':>8}{'in time':>9}{'late':>7}{'refused':>9}{'with advice':>13}{'failed':>8}"]
     for protocol in PROTOCOLS:
         of_protocol = [attempt for attempt in attempts if attempt.protocol == protocol]
@@ -259,10 +267,16 @@
 async def run_scenario(
     seconds: float, load: float, seed: int, progress: bool = True, drain_at: float = 2.0, dying: bool = True
 ) -> ScenarioResult:
-    """Run the scenario on a node of its own.
-
-    `drain_at`: the fraction of the time at which the node is told to shut down; requests keep arriving.
-    `dying`: whether one backend fails for a while.
+    """Run the scenario against a new node process.
+
+    Args:
+        seconds: duration of the load.
+        load: request rate as a multiple of the capacity.
+        seed: seed of all random choices.
+        progress: whether to print progress to standard error.
+        drain_at: fraction of the duration after which the node is told to shut down, while requests continue
+            to arrive; above 1 the load ends first.
+        dying: whether one backend is stopped between `STOP_AT` and `RESTART_AT`.
     """
     runs: list[ExecutedRun] = []
     backends = [BackendStub(f"vendor-{n}", runs, WORKERS, MEAN_RUN_S, seed + n) for n in range(SERVERS)]
@@ -275,58 +289,70 @@
     addresses = {"gateways": gateways, "routers": routers, "proxies": proxies, "servers": servers}
     text = OPERATOR_FILE.format(**addresses, at_once=(SERVERS + 1) * WORKERS)
     proxy = ProxyStub(proxies.port, runs, verdict_timeout=1.0)
-    callers = Load(gateways, routers, proxy, seed)
+    load_generator = LoadGenerator(gateways, routers, proxy, seed)
     async with run_node(text, proxies) as node:
-        await callers.open()
+        await load_generator.open()
         shutdown = asyncio.get_running_loop().call_later(drain_at * seconds, node.begin_shutdown)
-        await _drive(callers, backends if dying else [], seconds, load, seed, progress)
+        await _drive(load_generator, backends if dying else [], seconds, load, seed, progress)
         shutdown.cancel()
         exit_code = await node.shut_down()
     await proxy.close()
     for backend in backends:
         backend.stop()
-    return ScenarioResult(callers.attempts, runs, exit_code)
+    return ScenarioResult(load_generator.attempts, runs, exit_code)
 
 
 async def _drive(
-    callers: Load, backends: list[BackendStub], seconds: float, load: float, seed: int, progress: bool
+    load_generator: LoadGenerator,
+    backends: list[BackendStub],
+    seconds: float,
+    load: float,
+    seed: int,
+    progress: bool,
 ) -> None:
-    """Begin requests in an open loop at random times; the last backend fails for a while."""
+    """Start requests in an open loop at random intervals.
+
+    The last backend, if any, is stopped between `STOP_AT` and `RESTART_AT`.
+    """
     random = Random(seed)
     started_at = time.monotonic()
-    due = 0.0  # seconds from the start until the next request
-    shown = 0
-    is_dead = False
+    due = 0.0  # time of the next request in seconds since the start
+    last_shown = 0
+    is_stopped = False
     while due < seconds:
         await asyncio.sleep(max(0.0, started_at + due - time.monotonic()))
-        callers.begin()
+        load_generator.start_request()
         due += random.expovariate(load * CAPACITY)
         elapsed = due / seconds
-        if backends and DYING_AT < elapsed < BACK_AT and not is_dead:
-            is_dead = True
+        if backends and STOP_AT < elapsed < RESTART_AT and not is_stopped:
+            is_stopped = True
             backends[-1].stop()
-        elif elapsed > BACK_AT and is_dead:
-            is_dead = False
+        elif elapsed > RESTART_AT and is_stopped:
+            is_stopped = False
             await backends[-1].start()
-        if progress and int(due) > shown:
-            shown = int(due)
-            click.echo(f"\r{shown} of {seconds:g} s, {len(callers.attempts)} asked", nl=False, err=True)
-    await callers.finish()
+        if progress and int(due) > last_shown:
+            last_shown = int(due)
+            click.echo(
+                f"\r{last_shown} of {seconds:g} s, {len(load_generator.attempts)} attempts",
+                nl=False,
+                err=True,
+            )
+    await load_generator.finish()
     if progress:
         click.echo(err=True)
 
 
 def main(seconds: float, load: float, seed: int) -> int:
-    """Run the scenario and print its table; the exit code is 1 if a rule was violated."""
+    """Run the scenario, print its table and return the exit code: 1 for a violation or a failed node."""
     click.echo(
-        f"{SERVERS} stand-in servers and a service behind a proxy that can do {CAPACITY:.0f} requests a "
-        f"second, {load:g} times as many asked; one server dies at {DYING_AT:.0%} of the time and is back at "
-        f"{BACK_AT:.0%}"
+        f"{SERVERS} stub servers and a service behind a proxy with a capacity of {CAPACITY:.0f} requests per "
+        f"second, loaded with {load:g} times their capacity; one server stops after {STOP_AT:.0%} of the "
+        f"duration and restarts after {RESTART_AT:.0%}"
     )
     attempts, runs, exit_code = asyncio.run(run_scenario(seconds, load, seed))
     click.echo(table(attempts, runs))
     violations = checker.find_violations(attempts, runs)
     for violation in violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(violation)
-    click.echo(f"rules broken: {len(violations)}; the node ended with code {exit_code}")
+    click.echo(f"violations: {len(violations)}; the node exited with code {exit_code}")
     return 1 if violations or exit_code else 0
--- a/shelfhaven/lab/fleet.py
+++ b/shelfhaven/lab/fleet.py
@@ -1,7 +1,8 @@
-"""A fleet of real `serve` processes on loopback, with a gate on every link to peers and to the list service.
+"""A fleet of real `serve` processes on loopback, with a gate on every link to a peer or the list service.
 
-Writes the nodes' files, starts, signals and ends the processes, and records one history of what was done to
-them and what they logged. Every process that it starts ends with the fleet, and it signals no other.
+The fleet writes the operator configuration of its nodes, starts, signals and ends their processes, and
+records one history of the operations on the nodes and of their log lines. It signals only processes that it
+started, and all of them end with the fleet.
 """
 
 from __future__ import annotations
@@ -26,10 +27,10 @@
 from shelfhaven.lab.fault_links import Gate, Net
 from shelfhaven.lab.ports import reserved_port
 
-STARTED = "started_by_lab"  # log event that marks a start of a process
-LogLine: TypeAlias = dict[str, Any]  # JSON, as decoded
+STARTED = "started_by_lab"  # event that the fleet writes to a node's log before each start of its process
+LogLine: TypeAlias = dict[str, Any]  # a decoded JSON line
 
-FILE = """
+OPERATOR_FILE = """
 node "{name}" stop="{stop}" memory="64MB" descriptors=256
 work at-once={at_once} memory="16MB" {{
     class "balance" aim="500ms" deadline="1500ms" worth=1 repeat="safe"
@@ -64,23 +65,36 @@
 
 
 class CommandResult(NamedTuple):
-    """What a command printed, and its exit code."""
+    """The output and exit code of a command."""
 
     output: str
     exit_code: int
 
 
 class Operation(NamedTuple):
-    """What was done to a node."""
+    """An operation on a node: its Unix time, the node's name and a description."""
 
     at: float
     node: str
-    what: str
+    description: str
 
 
 @dataclass(eq=False)
 class FleetNode:
-    """One node: its ports, its process and what it has logged."""
+    """One node: its ports, its process and its log.
+
+    Attributes:
+        gateway: the port for gateways.
+        peer: the port that the node listens on for peers, behind `gate`.
+        gate: the gate in front of `peer`; its address is the one that the node advertises.
+        store_gate: the gate on the link to the list service; None without a list service.
+        folder: the directory of the node's files.
+        routers: the port for routers; 0 if there is none.
+        process: the current or last process; None before the first start.
+        lines: the log lines read so far, of all starts.
+        read: number of bytes of the log that have been read into `lines`.
+        starts: how often the process was started.
+    """
 
     name: str
     zone: str
@@ -89,29 +103,29 @@
     gate: Gate
     store_gate: Gate | None
     folder: Path
-    routers: int = 0  # port for routers, 0 for none
+    routers: int = 0
     process: asyncio.subprocess.Process | None = None
     lines: list[LogLine] = field(default_factory=list)
-    read: int = 0  # bytes of the log that are in `lines`
+    read: int = 0
     starts: int = 0
 
     @property
     def log(self) -> Path:
-        """The file of its log."""
+        """The path of the log file."""
         return self.folder / f"{self.name}.log"
 
     @property
     def path(self) -> Path:
-        """Its operator's file."""
+        """The path of the operator configuration."""
         return self.folder / f"{self.name}.kdl"
 
     @property
     def running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def logged(self) -> list[LogLine]:
-        """All complete lines so far."""
+        """Read the complete lines added to the log and return all lines so far."""
         if self.log.exists():
             with self.log.open("rb") as file:
                 file.seek(self.read)
@@ -122,31 +136,31 @@
         return self.lines
 
     def events(self, name: str) -> list[LogLine]:
-        """Lines of one event, since the last start."""
+        """Return the log lines of one event since the last start."""
         lines = self.logged()
-        started = max((n for n, line in enumerate(lines) if line["event"] == STARTED), default=-1)
-        return [line for line in lines[started + 1 :] if line["event"] == name]
+        last_start = max((n for n, line in enumerate(lines) if line["event"] == STARTED), default=-1)
+        return [line for line in lines[last_start + 1 :] if line["event"] == name]
 
     def knows(self) -> int:
-        """How many nodes are on its list, by its log."""
-        changed = self.events("list_changed")
-        return int(changed[-1]["nodes"]) if changed else 0
+        """Return the number of nodes on the node's endpoint list, according to its log."""
+        changes = self.events("list_changed")
+        return int(changes[-1]["nodes"]) if changes else 0
 
     def ready_after(self) -> float | None:
-        """Seconds from its start until it took requests; None if it does not yet."""
-        steps = [line for line in self.events("readiness") if line["step"] == "ready"]
-        return float(steps[0]["after"]) if steps else None
+        """Return the seconds from the start until the node was ready; None if it is not ready yet."""
+        ready_lines = [line for line in self.events("readiness") if line["step"] == "ready"]
+        return float(ready_lines[0]["after"]) if ready_lines else None
 
     async def ask(self, method: str, path: str, body: bytes = b"", **more: str) -> Reply:
-        """Send it one request, as a gateway."""
+        """Send the node one request as a gateway."""
         return await ask(Address("127.0.0.1", self.gateway), method, path, body, **more)
 
     async def healthy(self) -> bool:
-        """Whether its health check says that it takes requests."""
+        """Return whether the health check reports that the node accepts requests."""
         return (await self.ask("GET", "/-/health")).status == HTTPStatus.OK
 
     async def command(self, *words: str) -> CommandResult:
-        """Run a command of the program with this node's file."""
+        """Run a command of the program with this node's operator configuration."""
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "shelfhaven", *words, "--operator", str(self.path),
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT,
@@ -155,30 +169,30 @@
         return CommandResult(output.decode(), process.returncode or 0)
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to its process."""
+        """Send a signal to the process if it is running."""
         if self.process and self.process.returncode is None:
             self.process.send_signal(number)
 
 
-FileSection: TypeAlias = str | Callable[[FleetNode], str]  # the same for all nodes, or made for each
+FileSection: TypeAlias = str | Callable[[FleetNode], str]  # one text for all nodes, or a function of the node
 
 
 class FileValues(TypedDict, total=False):
-    """The values of `FILE` that differ between fleets."""
-
-    stop: str  # time for a graceful shutdown
-    at_once: int
-    pool: str  # more of the pool's node
-    from_list: str  # whether the pool takes its servers from the list: "true" or "false"
-    more: str  # of the node `membership`
-    seeds: int  # how many other nodes each file names as peers
-    within: str  # time limit of the list service
-    singleton_tasks: FileSection  # the node `duties`
-    zones_section: FileSection  # the node `zones`
-    key_store: FileSection  # the node `keys`
+    """Values for the placeholders of `OPERATOR_FILE` that differ between fleets, and options of the fleet."""
+
+    stop: str  # time limit of a graceful shutdown
+    at_once: int  # concurrent runs
+    pool: str  # further lines of the node `pool`
+    from_list: str  # "true" if the pool takes its servers from the endpoint list, else "false"
+    more: str  # further lines of the node `membership`
+    seeds: int  # number of other nodes that each file names as peers
+    within: str  # time limit of requests to the list service
+    singleton_tasks: FileSection  # section `duties`
+    zones_section: FileSection  # section `zones`
+    key_store: FileSection  # section `keys`
     datagrams: bool  # whether nodes send each other datagrams
-    with_routers: bool
-    topup: str  # properties of the class "topup"
+    with_routers: bool  # whether nodes listen for routers
+    topup: str  # further properties of the class "topup"
 
 
 DEFAULT_VALUES: FileValues = {
@@ -203,51 +217,67 @@
 
 
 class Fleet:
-    """Nodes, gates and history."""
+    """Nodes, the gates on their links and the history of operations.
+
+    Attributes:
+        folder: the directory of all files.
+        store_port: the port of the list service; 0 if there is none.
+        servers: addresses of the pool's servers.
+        net: all gates.
+        nodes: all nodes by name.
+        by_gate: names of nodes by the address of their gate.
+        by_port: names of nodes by the port that they send datagrams from.
+        zone_of: zones of servers by address; a server without one gets no zone.
+        history: the operations on nodes, in order.
+        values: values for the operator configuration of all nodes.
+        env: additional environment variables of a node's process, by name of the node.
+    """
 
     def __init__(
         self, folder: Path, store_port: int, servers: Sequence[str], **changes: Unpack[FileValues]
     ) -> None:
         self.folder = folder
-        self.store_port = store_port  # of the list service, 0 for none
+        self.store_port = store_port
         self.servers = list(servers)
         self.net = Net()
         self.nodes: dict[str, FleetNode] = {}
-        self.by_gate: dict[str, str] = {}  # names of nodes by the address of their gate
-        self.by_port: dict[int, str] = {}  # names of nodes by the port that they send datagrams from
-        self.zone_of: dict[str, str] = {}  # zones of servers by their address
+        self.by_gate: dict[str, str] = {}
+        self.by_port: dict[int, str] = {}
+        self.zone_of: dict[str, str] = {}
         self.history: list[Operation] = []
         self.values: FileValues = {**DEFAULT_VALUES, **changes}
-        self.env: dict[str, dict[str, str]] = {}  # by node: further variables of its process
-        (folder / "secret").write_text("a secret of the laboratory")
+        self.env: dict[str, dict[str, str]] = {}
+        (folder / "secret").write_text("a secret for tests")
 
     async def add(self, name: str, zone: str = "z0") -> FleetNode:
-        """Add a node, which is not started yet."""
-        peer = reserved_port()
-        # One port number for connections and datagrams, so that neither is given to another socket.
-        gate = await self.net.gate(name, reserved_port() if self.values["datagrams"] else 0, peer)
+        """Add a node without starting it."""
+        peer_port = reserved_port()
+        # Connections and datagrams share one port number, so that no other socket is assigned either of them.
+        gate = await self.net.gate(name, reserved_port() if self.values["datagrams"] else 0, peer_port)
         gate.names = lambda address: self.by_gate.get(address, address)
         self.by_gate[f"127.0.0.1:{gate.port}"] = name
         if self.values["datagrams"]:
-            self.by_port[peer] = name
-            await self.net.datagrams(name, gate.port, peer, lambda port: self.by_port.get(port, "?"))
+            self.by_port[peer_port] = name
+            await self.net.datagrams(name, gate.port, peer_port, lambda port: self.by_port.get(port, "?"))
         store_gate = None
         if self.store_port:
             store_gate = await self.net.gate("store", 0, self.store_port, source=name)
-        routers = reserved_port() if self.values["with_routers"] else 0
-        node = FleetNode(name, zone, reserved_port(), peer, gate, store_gate, self.folder, routers)
+        routers_port = reserved_port() if self.values["with_routers"] else 0
+        node = FleetNode(name, zone, reserved_port(), peer_port, gate, store_gate, self.folder, routers_port)
         self.nodes[name] = node
         return node
 
     def journal(self, node: FleetNode) -> Path:
-        """The file of a node's replica of the consensus store."""
+        """Return the path of the journal of a node's consensus store replica."""
         return self.folder / f"{node.name}.agreed"
 
     def write(self, node: FleetNode, **changes: Unpack[FileValues]) -> None:
-        """Write a node's file."""
+        """Write a node's operator configuration; `changes` override the values of the fleet."""
         values: FileValues = {**self.values, **changes}
-        routers = f'listen "r" protocol="jsonrpc" address="127.0.0.1:{node.routers}"' if node.routers else ""
-        text = FILE.format(
+        routers_listener = (
+            f'listen "r" protocol="jsonrpc" address="127.0.0.1:{node.routers}"' if node.routers else ""
+        )
+        text = OPERATOR_FILE.format(
             name=node.name,
             zone=node.zone,
             gateway=node.gateway,
@@ -255,9 +285,9 @@
             gate=node.gate.port,
             secret=self.folder / "secret",
             servers="\n".join(map(self._server_line, self.servers)),
-            routers=routers,
-            tenant='tenant "one"' if routers else "",
-            mapped='tenant default="one"' if routers else "",
+            routers=routers_listener,
+            tenant='tenant "one"' if routers_listener else "",
+            mapped='tenant default="one"' if routers_listener else "",
             peers=self._peer_lines(node, values["seeds"]),
             service=self._list_service_node(node, values["within"]),
             zones_section=_text_for(values["zones_section"], node),
@@ -283,11 +313,11 @@
         return f'list within="{time_limit}" {{\n        {endpoint}\n    }}'
 
     def _server_line(self, server: str) -> str:
-        zone = f' zone="{self.zone_of[server]}"' if server in self.zone_of else ""
-        return f'    server "{server}"{zone}'
+        zone_property = f' zone="{self.zone_of[server]}"' if server in self.zone_of else ""
+        return f'    server "{server}"{zone_property}'
 
     async def start(self, node: FleetNode, **changes: Unpack[FileValues]) -> None:
-        """Start a node's process."""
+        """Write a node's operator configuration and start its process."""
         self.write(node, **changes)
         line = {"event": STARTED, "at": time.time(), "server": node.name}
         with node.log.open("ab") as log:
@@ -301,55 +331,55 @@
         self.note(node.name, "started")
 
     async def start_all(self) -> None:
-        """Start all that do not run, at once."""
+        """Start all nodes that are not running, concurrently."""
         await asyncio.gather(*(self.start(node) for node in self.nodes.values() if not node.running))
 
-    def note(self, name: str, what: str) -> None:
-        """Record what was done to a node."""
-        self.history.append(Operation(time.time(), name, what))
+    def note(self, name: str, operation: str) -> None:
+        """Record an operation on a node in the history."""
+        self.history.append(Operation(time.time(), name, operation))
 
     def suspend(self, node: FleetNode) -> None:
-        """Suspend its process."""
+        """Suspend a node's process."""
         node.send(signal.SIGSTOP)
         self.note(node.name, "paused")
 
     def resume(self, node: FleetNode) -> None:
-        """Resume its process."""
+        """Resume a node's process."""
         node.send(signal.SIGCONT)
         self.note(node.name, "resumed")
 
     async def kill(self, node: FleetNode) -> None:
-        """Kill its process."""
+        """Kill a node's process and wait for its end."""
         node.send(signal.SIGKILL)
         if node.process:
             await node.process.wait()
         self.note(node.name, "killed")
 
     async def drain(self, node: FleetNode) -> int:
-        """Begin its graceful shutdown, and wait for its exit code."""
+        """Start a node's graceful shutdown, wait for its end and return the exit code."""
         node.send(signal.SIGTERM)
         self.note(node.name, "told to leave")
         return await node.process.wait() if node.process else 0
 
     def running(self) -> list[FleetNode]:
-        """Nodes whose process runs."""
+        """Return the nodes whose process is running."""
         return [node for node in self.nodes.values() if node.running]
 
     def all_know(self, count: int) -> bool:
-        """Whether every running node has this number of nodes on its list."""
+        """Return whether every running node has this number of nodes on its endpoint list."""
         return all(node.knows() == count for node in self.running())
 
     def whole_history(self) -> list[LogLine]:
-        """What was done and what was logged, ordered by time."""
-        done: list[LogLine] = [
-            {"at": operation.at, "server": operation.node, "event": "done", "what": operation.what}
+        """Return all operations and log lines of all nodes, ordered by time."""
+        operations: list[LogLine] = [
+            {"at": operation.at, "server": operation.node, "event": "done", "what": operation.description}
             for operation in self.history
         ]
         logged = [line for node in self.nodes.values() for line in node.logged()]
-        return sorted(done + logged, key=lambda line: float(line["at"]))
+        return sorted(operations + logged, key=lambda line: float(line["at"]))
 
     async def end(self) -> None:
-        """End all processes and gates."""
+        """Kill all processes and close all gates."""
         for node in self.nodes.values():
             node.send(signal.SIGCONT)
             node.send(signal.SIGKILL)
@@ -363,12 +393,12 @@
 async def fleet(
     count: int, store_port: int, servers: Sequence[str], zones: int = 3, **changes: Unpack[FileValues]
 ) -> AsyncIterator[Fleet]:
-    """A fleet whose nodes are not started yet; ended with the context."""
+    """Create a fleet whose nodes are not started; it ends with the context."""
     with tempfile.TemporaryDirectory() as folder:
-        made = Fleet(Path(folder), store_port, servers, **changes)
+        new_fleet = Fleet(Path(folder), store_port, servers, **changes)
         try:
             for number in range(count):
-                await made.add(f"n{number:03}", f"z{number % zones}")
-            yield made
+                await new_fleet.add(f"n{number:03}", f"z{number % zones}")
+            yield new_fleet
         finally:
-            await made.end()
+            await new_fleet.end()
--- a/shelfhaven/lab/membership_simulation.py
+++ b/shelfhaven/lab/membership_simulation.py
@@ -1,7 +1,7 @@
-"""Simulation of a fleet's membership in virtual time: the real `Member` of each of up to thousands of nodes.
+"""Simulation of a fleet's membership in virtual time, with the real `Member` of up to thousands of nodes.
 
-The links and the list service are simulated; members receive events alone, and the scenario controls
-the links. All figures from here are simulated ones: no sockets, no processes, no CPU time.
+The links and the list service are simulated. Members only receive events; the scenario controls the links.
+No sockets or processes are used and no CPU time is modelled, so all figures are simulated, not measured.
 """
 
 from __future__ import annotations
@@ -42,30 +42,37 @@
 from shelfhaven.membership.node_identity import NodeIdentity
 from shelfhaven.membership.settings import MemberSettings
 
-SERVICE = "service"  # the list service's name as an end of a link
-PROGRESS_INTERVAL_S = 5.0  # as in a node
-MIN_DELAY_S, MAX_DELAY_S = 0.0005, 0.004  # of a message, one way
+SERVICE = "service"  # name of the list service as an endpoint of a link
+PROGRESS_INTERVAL_S = 5.0  # interval of progress notifications, as in a real node
+MIN_DELAY_S, MAX_DELAY_S = 0.0005, 0.004  # one-way delay of a message
 PEER_TIMEOUT_S = 1.0
 SERVICE_TIMEOUT_S = 2.0
-PAUSED_RETRY_S = 0.1  # after which an event for a suspended process is tried again
-EXPIRY_INTERVAL_S = 0.25  # between looks of the list service at its leases
-CONTACTS_PER_ANSWER = 4
-REQUESTS_PER_REGISTRATION = 2  # a lease grant and a put
+SUSPENDED_RETRY_S = 0.1  # interval at which an event is offered again to a suspended process
+EXPIRY_INTERVAL_S = 0.25  # interval at which the list service expires leases
+CONTACTS_PER_ANSWER = 4  # other peers named in the answer to a poll
+REQUESTS_PER_REGISTRATION = 2  # one lease grant and one put
 ZONES = 3
 
 
 @dataclass(frozen=True, slots=True)
 class FleetStart:
-    """How a simulated fleet starts."""
-
-    neighbours: int = 3  # nodes that all others know from their files
-    cached_list: ListSnapshot | None = None  # of an earlier incarnation
-    window: tuple[float, float] = (0.0, 1.0)  # seconds within which the nodes start
+    """How a simulated fleet starts.
+
+    Attributes:
+        neighbours: number of nodes that all others know from their operator configuration.
+        cached_list: the list cached by the previous incarnation of each node, if any.
+        window: range of the nodes' start times in seconds.
+        member_type: the class of the members.
+    """
+
+    neighbours: int = 3
+    cached_list: ListSnapshot | None = None
+    window: tuple[float, float] = (0.0, 1.0)
     member_type: type[Member] = Member
 
 
-class _OneReport:
-    """Reports the first of several possible results of a request, and no other."""
+class _FirstResult:
+    """Reports only the first of several possible results of a request."""
 
     def __init__(self, report: Callable[[Event], None]) -> None:
         self._report = report
@@ -78,12 +85,12 @@
 
 
 def _no_cut(_source: str, _target: str) -> bool:
-    """All links work."""
+    """Return False: no link is cut."""
     return False
 
 
-def _failure_of(action: Action) -> Event | None:
-    """The event if the list service does not answer a request in time, None where nobody waits for it."""
+def _timeout_event(action: Action) -> Event | None:
+    """Return the event for a timed out request to the list service; None if it has no timeout."""
     match action:
         case ReadList():
             return ListServiceFailed(ListOperation.READ)
@@ -97,7 +104,25 @@
 
 
 class MembershipSimulation(Virtual):
-    """Nodes, links and the list service on one clock."""
+    """Nodes, links and the list service on one virtual clock.
+
+    Attributes:
+        random: the source of all random delays and of the members' seeds.
+        settings: the membership settings of all nodes.
+        service: the list service.
+        fleet_start: how the fleet starts.
+        members: the members of running nodes, by address.
+        wakes: the next time at which a member is woken, by address.
+        stopped: addresses of nodes whose process is suspended.
+        cut: tells whether the link from a source to a target, each an address or `SERVICE`, is cut.
+        peer_polls: number of polls of each peer, by address.
+        peer_entries_sent: number of list entries that peers sent each other.
+        listed_at: time of the first registration since a node's last start, by address.
+        known_at: time at which a node first reported a changed list, by address.
+        started: time of the last start, by address.
+        identities: the identities of all nodes, by address.
+        neighbours: addresses that all nodes know from their operator configuration.
+    """
 
     def __init__(
         self, count: int, settings: MemberSettings, seed: int, service: SimulatedListService,
@@ -108,12 +133,12 @@
         self.settings = settings
         self.service = service
         self.fleet_start = start or FleetStart()
-        self.members: dict[str, Member] = {}  # by address, those that run
-        self.wakes: dict[str, float] = {}  # by address, when the member is next woken
-        self.stopped: set[str] = set()  # addresses whose process is suspended
-        self.cut: Callable[[str, str], bool] = _no_cut  # from, to: addresses, or SERVICE
+        self.members: dict[str, Member] = {}
+        self.wakes: dict[str, float] = {}
+        self.stopped: set[str] = set()
+        self.cut: Callable[[str, str], bool] = _no_cut
         self.peer_polls: Counter[str] = Counter()
-        self.peer_entries_sent = 0  # between peers
+        self.peer_entries_sent = 0
         self.listed_at: dict[str, float] = {}
         self.known_at: dict[str, float] = {}
         self.started: dict[str, float] = {}
@@ -126,13 +151,13 @@
         self._expire()
 
     def delay(self) -> float:
-        """The delay of a message, one way."""
+        """Return a random one-way delay of a message."""
         return self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
 
     # Nodes
 
     def begin(self, address: str, cached_list: ListSnapshot | None = None) -> None:
-        """Start a node, with nothing but its cached list."""
+        """Start a node; its only state is its cached list, if any."""
         self.started[address] = self.now
         self.listed_at.pop(address, None)
         random = Random(self.random.random())
@@ -144,21 +169,24 @@
         self.tell(address, member, NodeReady())
 
     def kill(self, address: str) -> None:
-        """End a node; its lease ends by itself."""
+        """Kill a node; its lease is not revoked and expires."""
         self.members.pop(address, None)
         self.service.watchers.pop(address, None)
 
     def tell(self, address: str, member: Member, event: Event) -> None:
-        """Give a member an event, later if its process is suspended, and not at all if it was restarted."""
+        """Deliver an event to a member.
+
+        The event is delayed while the process is suspended and dropped if the node was killed or restarted.
+        """
         if self.members.get(address) is not member:
             return
         if address in self.stopped:
-            self.after(PAUSED_RETRY_S, lambda: self.tell(address, member, event))
+            self.after(SUSPENDED_RETRY_S, lambda: self.tell(address, member, event))
             return
-        self.carry_out(address, member, member.on(self.now, event))
+        self.execute_actions(address, member, member.on(self.now, event))
 
-    def carry_out(self, address: str, member: Member, actions: list[Action]) -> None:
-        """Carry out an action of a member."""
+    def execute_actions(self, address: str, member: Member, actions: list[Action]) -> None:
+        """Execute the actions of a member."""
         for action in actions:
             match action:
                 case PollPeer():
@@ -167,36 +195,36 @@
                     self.known_at.setdefault(address, self.now)
                 case _:
                     self.request_service(address, member, action)
-        self.plan_wake(address, member)
+        self.schedule_wake(address, member)
 
-    def plan_wake(self, address: str, member: Member) -> None:
-        """Wake a member when something is due."""
+    def schedule_wake(self, address: str, member: Member) -> None:
+        """Schedule the next wake-up of a member."""
         due = max(member.next_wake(), self.now)
         if due < self.wakes.get(address, float("inf")):
             self.wakes[address] = due
             self.at(due, lambda: self.wake(address, member, due))
 
     def wake(self, address: str, member: Member, due: float) -> None:
-        """Wake a member, unless it was woken or restarted meanwhile."""
+        """Wake a member, unless it was killed, restarted or rescheduled meanwhile."""
         if self.members.get(address) is not member or self.wakes.get(address) != due:
             return
         if address in self.stopped:
-            self.wakes[address] = self.now + PAUSED_RETRY_S
-            self.after(PAUSED_RETRY_S, lambda: self.wake(address, member, self.wakes[address]))
+            self.wakes[address] = self.now + SUSPENDED_RETRY_S
+            self.after(SUSPENDED_RETRY_S, lambda: self.wake(address, member, self.wakes[address]))
             return
         del self.wakes[address]
-        self.carry_out(address, member, member.wake(self.now))
+        self.execute_actions(address, member, member.wake(self.now))
 
     # Links
 
     def poll_peer(self, address: str, member: Member, action: PollPeer) -> None:
         """A poll of one node by another."""
         self.peer_polls[action.peer] += 1
-        report = _OneReport(partial(self.tell, address, member))
+        report = _FirstResult(partial(self.tell, address, member))
         self.after(self.delay(), lambda: self._answer_poll(address, action, report))
         self.after(PEER_TIMEOUT_S, lambda: report(PeerFailed(action.peer)))
 
-    def _answer_poll(self, address: str, poll: PollPeer, report: _OneReport) -> None:
+    def _answer_poll(self, address: str, poll: PollPeer, report: _FirstResult) -> None:
         polled = self.members.get(poll.peer)
         if polled is None or poll.peer in self.stopped or self.cut(address, poll.peer):
             return
@@ -209,13 +237,13 @@
             self.after(self.delay(), lambda: report(event))
 
     def request_service(self, address: str, member: Member, action: Action) -> None:
-        """A request to the list service: counted on arrival, answered in the order of the queue."""
-        report = _OneReport(partial(self.tell, address, member))
+        """Send a request to the list service, which counts it on arrival and answers in queue order."""
+        report = _FirstResult(partial(self.tell, address, member))
         self.after(self.delay(), lambda: self._reach_service(address, member, action, report))
-        if failure := _failure_of(action):
+        if failure := _timeout_event(action):
             self.after(SERVICE_TIMEOUT_S, lambda: report(failure))
 
-    def _reach_service(self, address: str, member: Member, action: Action, report: _OneReport) -> None:
+    def _reach_service(self, address: str, member: Member, action: Action, report: _FirstResult) -> None:
         if self.cut(address, SERVICE):
             return
         requests = REQUESTS_PER_REGISTRATION if isinstance(action, RegisterSelf) else 1
@@ -224,7 +252,7 @@
             served_at = self.service.enqueue(self.now, requests)
             self.at(served_at, lambda: self._serve(address, member, action, report))
 
-    def _serve(self, address: str, member: Member, action: Action, report: _OneReport) -> None:
+    def _serve(self, address: str, member: Member, action: Action, report: _FirstResult) -> None:
         if not self.service.up:
             return
         event = self.answer(address, member, action)
@@ -234,7 +262,7 @@
     # The list service
 
     def answer(self, address: str, member: Member, action: Action) -> Event | None:
-        """Execute a request at the list service; returns its answer."""
+        """Execute a request at the list service and return its answer."""
         service = self.service
         match action:
             case ReadList():
@@ -285,6 +313,6 @@
     # Checks
 
     def converged(self) -> bool:
-        """Whether every running node knows exactly the nodes that run."""
+        """Return whether the list of every running node contains exactly the running nodes."""
         running = {self.identities[address].key for address in self.members}
         return all(member.fleet.nodes.positions.keys() == running for member in self.members.values())
--- a/shelfhaven/lab/naive_member.py
+++ b/shelfhaven/lab/naive_member.py
@@ -1,6 +1,7 @@
-"""The baseline of the membership simulation: every node polls the list service at once.
+"""Baseline of the membership simulation: every node reads the list from the list service at once.
 
-It polls no peer, has no quota, holds a watch, and comes back after failures at doubled intervals.
+Naive members do not poll peers and have no request quota. Each registered one holds a watch, and the retry
+delay after failures is doubled each time.
 """
 
 from __future__ import annotations
@@ -17,56 +18,56 @@
 
 
 class UnlimitedQuota(ServiceQuota):
-    """No quota, no slots, and retries without jitter."""
+    """Unlimited requests without time slots, and retries without jitter."""
 
     def slot(self, now: float, purpose: str, window: float) -> float:
-        """At once."""
+        """Return the current time, so that requests are sent at once."""
         del purpose, window
         return now
 
     def try_take(self, now: float) -> bool:
-        """Always."""
+        """Return True: there is no quota."""
         del now
         return True
 
     def lease_ttl(self) -> float:
-        """The shortest, however large the fleet."""
+        """Return the shortest TTL for any size of the fleet."""
         return self.fleet.settings.min_lease
 
     def back_off(self, now: float, retry_after: float | None) -> None:
-        """Double the delay, whatever the service asks for."""
+        """Double the retry delay up to `MAX_RETRY_S`; the service's Retry-After is ignored."""
         del retry_after
         self.backoff.failures += 1
         self.blocked_until = now + min(MAX_RETRY_S, FIRST_RETRY_S * 2.0**self.backoff.failures)
 
     def succeeded(self) -> None:
-        """The delay keeps growing."""
+        """Do nothing: the retry delay is not reset after a success."""
 
 
 class NoPolling(PeerPolling):
-    """No peer is ever polled."""
+    """Never polls a peer."""
 
     def delay_first_poll(self, now: float) -> None:
-        """Never."""
+        """Set the first poll to infinity, i.e. never."""
         super().delay_first_poll(now)
         self.due_at = math.inf
 
 
 class EagerWatch(ListWatch):
-    """Every registered node holds a watch, and reads at once while it has no list."""
+    """Holds a watch on every registered node and reads at once while the node has no list."""
 
     def plan_read(self, now: float) -> None:
-        """At once, or when the list is stale."""
+        """Schedule a read: at once without a list, otherwise when the list becomes stale."""
         has_list = bool(self.fleet.endpoint_list.version.store)
         self.read_at = now + self.fleet.settings.stale_after if has_list else now
 
     def should_watch(self, registered: bool) -> bool:
-        """Whatever the rank."""
+        """Return True for every registered node, regardless of its rank."""
         return registered
 
 
 class NaiveMember(Member):
-    """A member without quota, peer polling and watch ranking."""
+    """A member without a request quota, peer polling and the ranking of watching nodes."""
 
     quota_type = UnlimitedQuota
     polling_type = NoPolling
--- a/shelfhaven/lab/node.py
+++ b/shelfhaven/lab/node.py
@@ -1,6 +1,6 @@
-"""A node as a process of its own, run from the text of an operator's configuration.
+"""Runs a node as a separate process from the text of an operator configuration.
 
-Contract: `run_node` owns the process and its files; neither outlives its context.
+`run_node` owns the process and its files and removes both at the end of its context.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from shelfhaven.lab.callers import connect
 
 START_TIMEOUT_S = 15.0
-POLL_INTERVAL_S = 0.01  # between attempts to connect to a node that starts
+POLL_INTERVAL_S = 0.01  # between attempts to connect to a starting node
 
 
 class NodeStartError(ShelfhavenError):
-    """The node ended or did not listen in time; `log` is what it had written."""
+    """The node exited or did not listen in time. `log`: its standard error until then."""
 
     def __init__(self, log: str) -> None:
         super().__init__(f"the node did not start: {log}")
@@ -35,11 +35,12 @@
 
 @dataclass(eq=False)
 class NodeProcess:
-    """A node that accepts connections, or has ended.
+    """The process of a node that has started to listen.
 
     Attributes:
-        log: the file that its standard error goes to.
-        startup_seconds: from its start until it listened.
+        process: the process, which may have exited since.
+        log: the path of the file that receives its standard error.
+        startup_seconds: seconds from the start of the process until it listened.
     """
 
     process: asyncio.subprocess.Process
@@ -48,36 +49,41 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def exit_code(self) -> int | None:
-        """Its exit code; None while it runs."""
+        """The exit code; None while the process is running."""
         return self.process.returncode
 
     def events(self, name: str) -> list[dict[str, object]]:
-        """The lines of its log with that event."""
+        """Return the log lines of one event."""
         lines = [orjson.loads(line) for line in self.log.read_bytes().splitlines() if line.startswith(b"{")]
         return [line for line in lines if line["event"] == name]
 
     def begin_shutdown(self) -> None:
-        """Ask it to shut down gracefully."""
+        """Start a graceful shutdown unless the process has exited."""
         if self.exit_code is None:
             self.process.terminate()
 
     async def shut_down(self) -> int:
-        """Ask it to shut down gracefully and wait until it has; returns its exit code."""
+        """Shut the node down gracefully, wait for its end and return its exit code."""
         self.begin_shutdown()
         return await self.process.wait()
 
 
 @contextlib.asynccontextmanager
 async def run_node(text: str, address: Address, command: Sequence[str] = ()) -> AsyncIterator[NodeProcess]:
-    """Run a node with this operator's configuration; the context begins once it listens at the address.
+    """Run a node for the duration of the context, which is entered once the node listens at the address.
+
+    Args:
+        text: the operator configuration.
+        address: an address that the node listens at.
+        command: the command that starts the node, without the path of the configuration; by default `serve`.
 
     Raises:
-        NodeStartError: it ended or did not listen in time.
+        NodeStartError: the node exited or did not listen in time.
     """
     command = command or [sys.executable, "-m", "shelfhaven", "serve", "--operator"]
     with tempfile.TemporaryDirectory() as folder:
--- a/shelfhaven/lab/platform.py
+++ b/shelfhaven/lab/platform.py
@@ -1,7 +1,7 @@
-"""Stubs of the platform's peers of a node: the render farm agent, the ledger and the membership service.
+"""Stubs of the platform's services: the render farm agent, the ledger and the membership service.
 
-Contract: they own their sockets, on loopback with ephemeral ports, and record what arrives. They do not check
-what a node does: tests and checker.py do.
+Each stub owns its socket, on loopback with an ephemeral port, and records what it receives. The stubs do not
+check the node's behaviour; tests and checker.py do.
 """
 
 from __future__ import annotations
@@ -18,15 +18,19 @@
 
 
 class Agent:
-    """The render farm agent: stores its notices, replays them, and calls `on_launch` for each launch.
+    """The render farm agent: stores its notices, replays them on subscription and handles launches.
 
     Attributes:
         notices: all numbered notices, in order.
         subscribed: the notice number of each subscription.
-        launched: id, class and body of each launch.
-        delivered: id and body of each reply to a call.
-        commands: all lines that arrived.
-        silent: reads commands and sends nothing, as an agent that is cut off.
+        launched: run id, class and body of each launch.
+        delivered: run id and body of each reply to a downstream call.
+        commands: all command lines received.
+        on_launch: called with the run id of each launch.
+        state: the agent's state in the greeting.
+        started_at: time of the start on the monotonic clock, for the uptime in the greeting.
+        gauges: the values of the reply to a sample command.
+        silent: if set, the agent reads commands but sends nothing, as if the network lost its messages.
     """
 
     def __init__(self) -> None:
@@ -45,7 +49,7 @@
         self.silent = False
 
     async def start(self) -> None:
-        """Listen, on the same port after a stop."""
+        """Start to listen; a restarted agent reuses its previous port."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -62,7 +66,7 @@
         writer.close()
 
     def handle_command(self, words: list[str], body: bytes) -> None:
-        """Execute a command of the node."""
+        """Handle a command of the node."""
         match words:
             case ["subscribe", number]:
                 self.subscribed.append(int(number))
@@ -79,47 +83,51 @@
                 self.send(f"sampled {tag} {self.gauges}\r\n".encode())
 
     def send(self, data: bytes) -> None:
-        """Send bytes, unless it is silent or not connected."""
+        """Send bytes, unless the agent is silent or not connected."""
         if self.writer and not self.writer.is_closing() and not self.silent:
             self.writer.write(data)
 
     def notice(self, text: str, body: bytes | None = None) -> None:
-        """Store and send a notice; `#` in the text stands for its number."""
+        """Store and send a notice; `#` in the text is replaced by its number."""
         words = text.replace("#", str(len(self.notices) + 1)).encode()
         data = words + LINE_END if body is None else b"%b %d\r\n%b\r\n" % (words, len(body), body)
         self.notices.append(data)
         self.send(data)
 
     def passed(self, run_id: str) -> None:
-        """For `on_launch`: the run succeeds at once."""
+        """Report a run as succeeded; as `on_launch`, every run succeeds at once."""
         self.notice(f"outcome # {run_id} PASS 5", b"made for " + run_id.encode())
 
     def call_downstream(self, run_id: str) -> None:
-        """For `on_launch`: the run waits for a downstream call."""
+        """Make a downstream call from a run; as `on_launch`, every run waits for its call."""
         self.notice(f"request # {run_id}", b"ask")
 
     def keep_running(self, _: str) -> None:
-        """For `on_launch`: the run lasts until the test ends it."""
+        """Do nothing; as `on_launch`, every run lasts until the test ends it."""
 
     def cut(self) -> None:
-        """Break the connection."""
+        """Abort the connection."""
         if self.writer:
             self.writer.transport.abort()
 
     def stop(self) -> None:
-        """Stop listening and break the connection."""
+        """Stop listening and abort the connection."""
         if self.server:
             self.server.close()
         self.cut()
 
 
 class Ledger:
-    """The ledger: answers calls as `reply` says, or never where that is None.
+    """The ledger, which receives downstream calls.
 
     Attributes:
         calls: transaction reference and body of each call.
-        connections, closed: how many were opened, and have ended.
-        cut_after: bytes of the reply after which the connection breaks.
+        connections: number of connections accepted.
+        writers: writers of all connections accepted.
+        closed: number of connections that have ended.
+        reply: the response to each call; None to leave calls unanswered.
+        after_reply: called after each reply.
+        cut_after: number of bytes of the reply after which the connection is closed; None to send all of it.
     """
 
     def __init__(self) -> None:
@@ -158,7 +166,7 @@
 
 
 class Members:
-    """The membership service: receives load reports."""
+    """The membership service, which receives load reports."""
 
     def __init__(self) -> None:
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -167,9 +175,9 @@
         self.port = self.socket.getsockname()[1]
 
     def reports(self) -> list[bytes]:
-        """All reports that arrived since the previous call."""
-        found = []
+        """Return all reports that arrived since the previous call."""
+        received = []
         with contextlib.suppress(BlockingIOError):
             while True:
-                found.append(self.socket.recv(MAX_REPORT_BYTES))
-        return found
+                received.append(self.socket.recv(MAX_REPORT_BYTES))
+        return received
--- a/shelfhaven/lab/proxy.py
+++ b/shelfhaven/lab/proxy.py
@@ -1,7 +1,7 @@
 """Stub of a proxy that consults a node before it forwards a request (Envoy's `ext_proc`).
 
-It consults the node, waits for the verdict for a stated time, and forwards what it may. It knows the node
-only through the protocol.
+The stub waits up to a configured time for the node's verdict and forwards the request if the verdict permits.
+It interacts with the node only through the protocol.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from shelfhaven.protocol.pb import core_pb2, extproc_pb2, mode_pb2
 
 METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-HEALTH = "/grpc.health.v1.Health/Check"
+HEALTH_METHOD = "/grpc.health.v1.Health/Check"
 SERVING = b"\x08\x01"  # HealthCheckResponse with the status SERVING
 HEALTH_TIMEOUT = 1.0  # seconds
 BUFFERED = mode_pb2.ProcessingMode.BUFFERED
@@ -32,7 +32,7 @@
 
 
 class UpstreamResponse(NamedTuple):
-    """What an upstream answers."""
+    """The response of an upstream service."""
 
     status: int
     body: bytes
@@ -43,19 +43,19 @@
 
 @dataclass
 class ProxiedRequest:
-    """One request at the proxy, and its outcome.
+    """One request at the proxy and its outcome.
 
     Attributes:
-        method: its HTTP method.
-        path: its path, with the query.
-        body: its body.
-        headers: its headers, pseudo headers included.
-        consulted_at: when the proxy consulted the node, on the monotonic clock.
-        verdict_latency: seconds until the verdict; None without one.
-        forwarded: whether the proxy forwarded it.
-        added_headers: headers that came with the verdict.
-        reply: its caller's answer; None where the proxy gave up.
-        stream_status: of the stream, where it ended without a verdict.
+        method: the HTTP method.
+        path: the path with the query.
+        body: the request body.
+        headers: the request headers, including pseudo headers.
+        consulted_at: time on the monotonic clock at which the request arrived and the consultation began.
+        verdict_latency: seconds until the verdict; None without a verdict.
+        forwarded: whether the proxy forwarded the request.
+        added_headers: headers that the verdict added to the request.
+        reply: the response to the client; None if the proxy neither received one nor forwarded the request.
+        stream_status: the gRPC status if the stream ended with an error.
     """
 
     method: str
@@ -71,27 +71,27 @@
 
 
 def header_map(headers: dict[str, str]) -> core_pb2.HeaderMap:
-    """Headers as proxies send them."""
-    found = core_pb2.HeaderMap()
+    """Encode headers as Envoy does, with raw values."""
+    encoded = core_pb2.HeaderMap()
     for name, value in headers.items():
-        found.headers.add(key=name, raw_value=value.encode("latin-1"))
-    return found
+        encoded.headers.add(key=name, raw_value=value.encode("latin-1"))
+    return encoded
 
 
 def new_request(method: str, path: str, body: bytes, headers: dict[str, str]) -> ProxiedRequest:
-    """A request that arrives at a proxy now."""
+    """Create a request that arrives at the proxy now."""
     pseudo_headers = {":method": method, ":path": path, ":authority": "shop"}
     return ProxiedRequest(method, path, body, pseudo_headers | headers, time.monotonic())
 
 
 def first_message(request: ProxiedRequest) -> Request:
-    """The first message of a stream: the request's headers."""
+    """Return the first message of a stream, which carries the request headers."""
     headers = extproc_pb2.HttpHeaders(headers=header_map(request.headers), end_of_stream=not request.body)
     return Request(request_headers=headers)
 
 
 class Consultation(NamedTuple):
-    """A stream to the node, the first message to send on it, and the request that it is about."""
+    """A stream to the node, its first message, and the request that the node is consulted about."""
 
     stream: Stream
     first: Request
@@ -99,14 +99,18 @@
 
 
 class ProxyStub:
-    """One proxy; what runs behind it is logged in `log`, in the order in which runs started.
+    """One proxy.
 
     Attributes:
-        verdict_timeout: seconds that it waits for a verdict.
-        upstream: what it forwards to.
-        fail_open: whether it forwards a request for which it got no verdict.
-        honours_mode_overrides: whether it sends bodies when a verdict requests them.
-        healthy: result of the node's last health check.
+        log: the runs of forwarded requests, in order of their start.
+        name: the proxy's name in the log.
+        verdict_timeout: seconds that the proxy waits for a verdict.
+        channel: the gRPC channel to the node.
+        process: the RPC that opens a stream to the node.
+        upstream: the service that requests are forwarded to.
+        fail_open: whether requests are forwarded when there is no verdict.
+        honours_mode_overrides: whether the proxy sends bodies that the node requests by a mode override.
+        healthy: the result of the last health check of the node.
     """
 
     def __init__(
@@ -132,11 +136,11 @@
         self.healthy = True
 
     async def close(self) -> None:
-        """Crash: all streams break."""
+        """Simulate a crash: close the channel, which cancels all streams."""
         await self.channel.close()
 
     async def watch(self, every: float = 0.05) -> None:
-        """Check the node's health forever, as proxies do."""
+        """Check the node's health at an interval in seconds, until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(HEALTH_TIMEOUT):
@@ -146,21 +150,21 @@
             await asyncio.sleep(every)
 
     async def serving(self) -> bool:
-        """Whether the node's health check says that it takes work."""
-        check: HealthMethod = self.channel.unary_unary(HEALTH)
+        """Return whether the node's health check reports SERVING."""
+        check: HealthMethod = self.channel.unary_unary(HEALTH_METHOD)
         return bytes(await check(b"", wait_for_ready=True)) == SERVING
 
     async def serve(self, request: ProxiedRequest) -> UpstreamResponse:
-        """An upstream that serves at once."""
+        """Serve a request at once; the default upstream."""
         return UpstreamResponse(200, result_for(request.body, request.path))
 
     def begin(self, method: str, path: str, body: bytes = b"", **headers: str) -> Consultation:
-        """Open a stream for one request; nothing is sent yet."""
+        """Open a stream for a new request without sending the first message."""
         request = new_request(method, path, body, headers)
         return Consultation(self.process(), first_message(request), request)
 
     async def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> ProxiedRequest:
-        """Send one request through the proxy, from its arrival to its caller's answer."""
+        """Send one request through the proxy and return it with its outcome."""
         stream, first, request = self.begin(method, path, body, **headers)
         try:
             response = await self._verdict(stream, first, request)
@@ -183,11 +187,11 @@
         common = getattr(response, kind).response
         added = common.header_mutation.set_headers
         request.added_headers = {option.header.key: option.header.raw_value.decode() for option in added}
-        await self._run(stream, response, request)
+        await self._forward_and_report(stream, response, request)
         return request
 
     async def _verdict(self, stream: Stream, first: Request, request: ProxiedRequest) -> Response | None:
-        """The response that decides; it may take the request's body."""
+        """Return the node's final response about the request; send the request body if requested."""
         async with asyncio.timeout(self.verdict_timeout):
             response = await self._exchange(stream, first)
             wants_body = response.mode_override.request_body_mode == BUFFERED
@@ -198,10 +202,14 @@
             return response
 
     async def _exchange(self, stream: Stream, message: Request) -> Response:
-        """Send one message and read its response. Raises AioRpcError if the stream ends instead."""
+        """Send one message and read the response.
+
+        Raises:
+            AioRpcError: the stream ended without a response.
+        """
         await stream.write(message.SerializeToString())
         data = await stream.read()
-        if not isinstance(data, bytes):  # the end of the stream
+        if not isinstance(data, bytes):  # end of stream
             code = await stream.code()
             raise grpc.aio.AioRpcError(code, grpc.aio.Metadata(), grpc.aio.Metadata())
         return Response.FromString(data)
@@ -214,8 +222,8 @@
         request.reply = Reply(response.status, {}, response.body)
         return response
 
-    async def _run(self, stream: Stream, response: Response, request: ProxiedRequest) -> None:
-        """Forward a request, and report to the node how that went."""
+    async def _forward_and_report(self, stream: Stream, response: Response, request: ProxiedRequest) -> None:
+        """Forward a request and send the node the headers, and on request the body, of the response."""
         status, body = await self._forward(request)
         headers = header_map({":status": str(status)} | ({"x-not-run": "1"} if status == 503 else {}))
         try:
@@ -231,7 +239,7 @@
 
 
 def reply_of(immediate: extproc_pb2.ImmediateResponse) -> Reply:
-    """What a caller gets by an immediate response."""
+    """Convert an immediate response to the reply that the client receives."""
     fields = {
         option.header.key: option.header.raw_value.decode("latin-1")
         for option in immediate.headers.set_headers
--- a/shelfhaven/lab/simulated_list_service.py
+++ b/shelfhaven/lab/simulated_list_service.py
@@ -1,6 +1,6 @@
-"""The list service of the membership simulation: a store with leases and watches, and counts of requests.
+"""Simulated list service for the membership simulation: a store with leases, watches and request counts.
 
-It has no clock of its own: the simulation passes the time, and calls it when a request is due.
+The service has no clock; the simulation passes the current time and calls it when a request is due.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class SimulatedLease:
-    """A lease that holds one key."""
+    """A lease on one key; times are in seconds."""
 
     key: str
     ttl: float
@@ -26,68 +26,84 @@
 
 @dataclass
 class SimulatedListService:
-    """A queue of one server, leases, watches, and counts of requests."""
-
-    rate: float = 500.0  # requests a second that it can answer
+    """A store with leases and watches behind a single-server queue.
+
+    Attributes:
+        rate: requests per second that the service can answer.
+        store: the id of the store, which changes when it restarts empty.
+        revision: the current revision of the store.
+        items: the entries by key.
+        leases: the leases by id.
+        watchers: the watchers by the node's address.
+        deleted: revision and key of each deletion.
+        up: whether the service is available.
+        free_at: time at which all queued requests are answered.
+        requests_by_second: number of requests by second.
+        requests_by_kind: number of requests by kind.
+        entries_sent: number of entries sent in answers and watch events.
+        lease_ids: the source of lease ids.
+    """
+
+    rate: float = 500.0
     store: str = "store-1"
     revision: int = 1
     items: dict[str, Endpoint] = field(default_factory=dict)
     leases: dict[int, SimulatedLease] = field(default_factory=dict)
-    watchers: dict[str, NotifyWatcher] = field(default_factory=dict)  # by the node's address
-    deleted: list[tuple[int, str]] = field(default_factory=list)  # revision, key
+    watchers: dict[str, NotifyWatcher] = field(default_factory=dict)
+    deleted: list[tuple[int, str]] = field(default_factory=list)
     up: bool = True
-    free_at: float = 0.0  # when all requests in the queue are answered
+    free_at: float = 0.0
     requests_by_second: Counter[int] = field(default_factory=Counter)
     requests_by_kind: Counter[str] = field(default_factory=Counter)
-    entries_sent: int = 0  # in answers and watch events
+    entries_sent: int = 0
     lease_ids: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     def count_request(self, now: float, kind: str, requests: int = 1) -> None:
-        """Count requests of a node."""
+        """Count requests that arrive at the service."""
         self.requests_by_second[int(now)] += requests
         self.requests_by_kind[kind] += requests
 
     def enqueue(self, now: float, requests: int) -> float:
-        """Put a request into the queue; returns when it is answered."""
+        """Add requests to the queue and return the time at which they are answered."""
         self.free_at = max(self.free_at, now) + requests / self.rate
         return self.free_at
 
     # Requests
 
     def read(self) -> dict[str, Endpoint]:
-        """The complete list."""
+        """Return all entries."""
         self.entries_sent += len(self.items)
         return dict(self.items)
 
     def register(self, now: float, key: str, value: str, ttl: float) -> int:
-        """Put a key under a new lease; returns the lease's id."""
+        """Put a key with a new lease and return the id of the lease."""
         lease_id = next(self.lease_ids)
         self.leases[lease_id] = SimulatedLease(key, ttl, now + ttl)
         self.change({key: value}, ())
         return lease_id
 
     def renew(self, now: float, lease_id: int) -> bool:
-        """Renew a lease; whether it is known."""
+        """Renew a lease and return whether it exists."""
         lease = self.leases.get(lease_id)
         if lease:
             lease.expires_at = now + lease.ttl
         return lease is not None
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease, and remove its key."""
+        """Revoke a lease and remove its key."""
         if lease := self.leases.pop(lease_id, None):
             self.change({}, (lease.key,))
 
     def changes_after(self, revision: int) -> tuple[dict[str, Endpoint], tuple[str, ...]]:
-        """Entries put, and keys removed, after a revision."""
+        """Return the entries put and the keys removed after a revision."""
         put = {key: item for key, item in self.items.items() if item.revision > revision}
         removed = tuple(key for at, key in self.deleted if at > revision and key not in put)
         return put, removed
 
-    # What happens to the store
+    # Changes of the store
 
     def change(self, put: Mapping[str, str], removed: tuple[str, ...]) -> None:
-        """Change the store, and notify the watchers."""
+        """Apply a change to the store and notify the watchers."""
         self.revision += 1
         items = {key: Endpoint(value, self.revision) for key, value in put.items()}
         self.items |= items
@@ -99,7 +115,7 @@
             notify(self.revision, items, removed)
 
     def expire(self, now: float) -> None:
-        """End the leases that have expired."""
+        """End expired leases and remove their keys unless another lease holds the same key."""
         expired = [lease_id for lease_id, lease in self.leases.items() if lease.expires_at <= now]
         keys = tuple(self.leases.pop(lease_id).key for lease_id in expired)
         still_leased = {lease.key for lease in self.leases.values()}
@@ -108,7 +124,7 @@
             self.change({}, removed)
 
     def restart_empty(self) -> None:
-        """Restart with another store, without entries, leases or watches."""
+        """Restart with a new, empty store without leases and watches."""
         self.store += "+"
         self.revision = 1
         self.items = {}
@@ -117,5 +133,5 @@
         self.watchers.clear()
 
     def peak_requests(self, since: float = 0.0) -> int:
-        """Requests in the busiest second."""
+        """Return the number of requests in the busiest second from `since` on."""
         return max((count for second, count in self.requests_by_second.items() if second >= since), default=0)
--- a/shelfhaven/lab/state_crashes.py
+++ b/shelfhaven/lab/state_crashes.py
@@ -1,7 +1,7 @@
-"""A recorded sequence of commits on a disk that loses power at every single call.
+"""Crash test of the key store: a fixed sequence of commits with a power loss at each modifying disk call.
 
-Owns the sequence, the possible contents of the file after each loss, and a reader of its own, so that the
-check does not rely on the store alone.
+For each power loss the test examines the possible disk images, both with the store and with an independent
+reader, so that the check does not rely on the store alone.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 from shelfhaven.state.records import DeleteRecord, KeyRecord, Mutation, PutRecord, RunState, encode_label
 from shelfhaven.state.store import Store
 
-FILE = Path("/keys")  # of the disk in memory
+FILE = Path("/keys")  # on the in-memory disk
 LABEL = encode_label("topup", "one", "a key that is long enough to take some room on a page")
-CHECKPOINT_PAGES = 6  # a short write-ahead log, so that pages move all the time
+CHECKPOINT_PAGES = 6  # small, so that the write-ahead log is checkpointed often
 
 
 class StoredKey(NamedTuple):
-    """What the file says of a key."""
+    """The state and result stored for a key."""
 
     run_state: int
     result: bytes | None
 
 
-State = dict[bytes, StoredKey]
+State = dict[bytes, StoredKey]  # the stored keys by digest
 
 
 def put(number: int, run_state: RunState, result: bytes | None = None) -> PutRecord:
-    """The mutation that writes a key."""
+    """Return the mutation that stores a key."""
     return PutRecord(KeyRecord(key(number), run_state, 1, 1e6 + number, LABEL, result))
 
 
@@ -55,7 +55,7 @@
 
 
 def expected_states() -> list[State]:
-    """The state after each number of commits, beginning with none."""
+    """Return the states after each number of commits, starting with zero commits."""
     states: list[State] = [{}]
     for mutations in SEQUENCE:
         state = dict(states[-1])
@@ -70,19 +70,22 @@
 
 
 def open_store() -> Store:
-    """The store on the disk that is registered now."""
+    """Open the store on the currently registered crash disk."""
     return Store(FILE, True, VFS_NAME, lock=False)
 
 
 def abandon(store: Store | None) -> None:
-    """A process that is dead closes nothing; here its object has to go without a fault of its own."""
+    """Close the database after a simulated crash and ignore errors.
+
+    A crashed process would not close it; here the connection must be released before the next run.
+    """
     if store:
         with contextlib.suppress(apsw.Error):
             store.database.close()
 
 
 def play_sequence() -> int:
-    """The commits that were acknowledged before the power loss, or all."""
+    """Run the sequence until it ends or the power is lost; return the number of acknowledged commits."""
     acknowledged = 0
     store = None
     try:
@@ -100,16 +103,17 @@
 
 
 def read_independently(files: Mapping[str, bytes]) -> State | None:
-    """What a reader finds that shares no code with the store; None for a file that was never created.
+    """Read the stored keys without any code of the store; return None if the table was never created.
 
-    Raises ValueError for an inconsistent database.
+    Raises:
+        ValueError: the database is inconsistent.
     """
     with tempfile.TemporaryDirectory() as folder:
         for name, raw in files.items():
             (Path(folder) / name).write_bytes(raw)
         with contextlib.closing(sqlite3.connect(Path(folder) / FILE.name)) as database:
             if database.execute("PRAGMA integrity_check").fetchall() != [("ok",)]:
-                raise ValueError("pages that do not hang together")
+                raise ValueError("the integrity check of the database failed")
             if not database.execute("SELECT 1 FROM sqlite_schema WHERE name = 'keys'").fetchall():
                 return None
             rows = database.execute("SELECT id, how, result FROM keys").fetchall()
@@ -117,21 +121,27 @@
 
 
 def recovered_keys(files: Mapping[str, bytes]) -> set[bytes]:
-    """The keys that the next incarnation finds."""
+    """Return the digests of the keys that the next incarnation recovers."""
     disk = CrashDisk(dict(files))
     store = open_store()
     store.begin(50.0, "b", "")
-    found = set[bytes]()
+    recovered = set[bytes]()
     if store.is_consistent():
-        found = {expiry.digest for page in store.pages(50.0) for expiry in page if expiry}
+        recovered = {expiry.digest for page in store.pages(50.0) for expiry in page if expiry}
     store.close()
     disk.close()
-    return found
+    return recovered
 
 
 @dataclass(slots=True)
 class SearchResult:
-    """Result of a search: calls of the whole sequence, disk images that were read, breaches in words."""
+    """Result of a search.
+
+    Attributes:
+        calls: number of modifying disk calls at which the power was lost.
+        points: number of disk images checked.
+        breaches: descriptions of all violations.
+    """
 
     calls: int = 0
     points: int = 0
@@ -139,7 +149,7 @@
 
 
 def search(seed: int) -> SearchResult:
-    """Lose power at each call in turn; read and recover each possible disk image."""
+    """Run the sequence with a power loss at each modifying call in turn, and check each disk image."""
     states = expected_states()
     random = Random(seed)
     result = SearchResult()
@@ -153,7 +163,7 @@
         disk.close()
         for files in images:
             result.points += 1
-            # the commit that was under way is there complete, or not at all
+            # the commit in progress must be stored completely or not at all
             _check_image(files, states[acknowledged : acknowledged + 2], acknowledged, result)
     return result
 
@@ -161,10 +171,15 @@
 def _check_image(
     files: Mapping[str, bytes], allowed: list[State], acknowledged: int, result: SearchResult
 ) -> None:
-    found = read_independently(files)
+    """Check that an image holds an allowed state and that the store recovers exactly its keys."""
+    stored = read_independently(files)
     recovered = recovered_keys(files)
-    state = found or {}
-    if state not in allowed or (found is None and acknowledged):
-        result.breaches.append(f"call {result.calls}, after {acknowledged} commits: {len(state)} keys")
+    state = stored or {}
+    if state not in allowed or (stored is None and acknowledged):
+        result.breaches.append(
+            f"call {result.calls}, after {acknowledged} commits: unexpected state with {len(state)} keys"
+        )
     if recovered != set(state):
-        result.breaches.append(f"call {result.calls}: the store begins with {len(recovered)} keys")
+        result.breaches.append(
+            f"call {result.calls}: the store recovers other keys than are stored, {len(recovered)} in number"
+        )
--- a/shelfhaven/lab/state_fleet.py
+++ b/shelfhaven/lab/state_fleet.py
@@ -1,6 +1,7 @@
-"""Nodes that record their keys in a file, as processes in front of one backend.
+"""A fleet of node processes that store their idempotency keys in a file, in front of one backend stub.
 
-Owns the callers and the backend. It influences a node only by its file, its commands and signals.
+The fleet owns the callers and the backend. It controls a node only through its operator configuration, the
+program's commands and signals.
 """
 
 from __future__ import annotations
@@ -16,13 +17,19 @@
 from shelfhaven.lab.failover_fleet import TOPUP
 from shelfhaven.lab.fleet import Fleet, FleetNode, fleet
 
-PATIENCE = 4.0  # seconds that a caller waits for a reply
-BACKEND_LIMIT = 16  # requests that the backend runs at a time
-BACKEND_DURATION = 0.005  # seconds that a run takes there
+REPLY_TIMEOUT = 4.0  # seconds
+BACKEND_WORKERS = 16  # concurrent runs of the backend
+BACKEND_RUN_S = 0.005  # mean duration of a run at the backend
 
 
 class KeyStoreFleet:
-    """A backend, nodes in front of it, and the runs that the backend has executed."""
+    """A backend and the nodes in front of it.
+
+    Attributes:
+        fleet: the nodes.
+        backend: the backend that all nodes use.
+        ran: the runs that the backend executed, in order of their start.
+    """
 
     def __init__(self, nodes: Fleet, backend: BackendStub, ran: list[ExecutedRun]) -> None:
         self.fleet = nodes
@@ -35,41 +42,41 @@
         return next(iter(self.fleet.nodes.values()))
 
     async def up(self, node: FleetNode | None = None) -> None:
-        """Start a node, the first by default, and wait until it has read its keys."""
-        started = node or self.node
-        await self.fleet.start(started)
-        await soon(lambda: started.events("keys_loaded") and started.events("phase"))
+        """Start a node, by default the first, and wait until it has loaded its keys."""
+        target = node or self.node
+        await self.fleet.start(target)
+        await soon(lambda: target.events("keys_loaded") and target.events("phase"))
 
     async def restart(self) -> None:
-        """Kill the first node and start it anew."""
+        """Kill the first node and start it again."""
         await self.fleet.kill(self.node)
         await self.up()
 
     async def topped_up(self, key: str, body: bytes = b"100", node: FleetNode | None = None) -> Reply | None:
-        """The reply to a keyed request; None if none came in time."""
+        """Send a keyed request and return the reply, or None if no complete reply arrived in time."""
         target = node or self.node
         with contextlib.suppress(OSError, TimeoutError, ValueError):
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(REPLY_TIMEOUT):
                 reply = await target.ask("POST", "/topup", body, HTTP_IDEMPOTENCY_KEY=key)
                 return reply if reply.status else None
         return None
 
     async def served(self, key: str, body: bytes = b"100", node: FleetNode | None = None) -> bytes:
-        """The result of an attempt that has to be served."""
+        """Send a keyed request, assert that it is served and return its result."""
         reply = await self.topped_up(key, body, node)
         assert reply
         assert reply.status == 200
         return reply.body
 
     async def failed(self, key: str, node: FleetNode | None = None) -> None:
-        """Make an attempt that has to fail without the promise that it never ran."""
+        """Send a keyed request and assert that it fails without a statement that it did not run."""
         reply = await self.topped_up(key, node=node)
         assert reply
         assert reply.status >= 500
-        assert not reply.not_run, "it may have run: nobody says that it has not"
+        assert not reply.not_run, "the key may have run, so the reply must not state that it did not"
 
     def runs_of(self, key: str) -> int:
-        """How often the backend ran a key."""
+        """Return how often the backend ran the request with this key."""
         return sum(run.key == key for run in self.ran)
 
 
@@ -77,11 +84,15 @@
 async def key_store_fleet(
     count: int = 1, topup: str = TOPUP, with_routers: bool = False
 ) -> AsyncIterator[KeyStoreFleet]:
-    """Nodes that share one key file, if there are several. `topup`: the deadline and TTL of the keyed class;
-    `with_routers`: whether nodes also listen for routers.
+    """Create nodes that share one key file, and start their backend and list service.
+
+    Args:
+        count: number of nodes.
+        topup: properties of the keyed class: its deadline and key TTL.
+        with_routers: whether nodes also listen for routers.
     """
     ran: list[ExecutedRun] = []
-    backend = BackendStub("v", ran, BACKEND_LIMIT, BACKEND_DURATION)
+    backend = BackendStub("v", ran, BACKEND_WORKERS, BACKEND_RUN_S)
     store = EtcdStub(port_count=1)
     await backend.start()
     await store.start()
--- a/shelfhaven/lab/state_model.py
+++ b/shelfhaven/lab/state_model.py
@@ -1,13 +1,14 @@
-"""An exhaustive model of one key that is recorded: intent, run, outcome, answer, crash, duplicate.
+"""Exhaustive model check of one durable idempotency key.
 
-Owns the model and its search. It must never share code with what it models.
+It covers the intent, the run, its outcome, answers, crashes of the node and duplicate attempts. The
+module contains the model and its search, and shares no code with the implementation that it models.
 
-One key within its TTL, one node, a disk that may or may not have a write until it reports it, and a backend
-at which a run that was sent takes effect at any later moment, also after a crash of the node. Attempts arrive
-at any moment. A crash loses the node's memory, and a write in flight is on the disk or not.
+The model has one key within its TTL, one node, a disk and a backend. A run that was sent takes effect at the
+backend at any later time, even after a crash of the node. Attempts arrive at any time. A crash loses the
+node's memory; a write that the disk has not yet acknowledged may or may not survive it.
 
-Breaches: two effects; an attempt that is answered as unrun, though the key has run or yet may; an attempt
-that gets anything but the result once one was answered with it.
+Violations: the request takes effect twice; an attempt is answered as not run although the key has run or may
+still run; an attempt gets another answer than the result after an earlier attempt was answered with it.
 """
 
 from __future__ import annotations
@@ -22,34 +23,34 @@
 
 
 class Mistake(Enum):
-    """A mistake that the search has to find."""
+    """A deliberate implementation error whose violation the search must find."""
 
     NONE = "none"
-    LAUNCH_FIRST = "a run is sent before its intent is on the disk"
-    ANSWER_FIRST = "a result is answered before it is on the disk"
-    FORGETS_INTENTS = "a start forgets intents without an outcome"
-    RUNS_LOADING = "an attempt that comes before the keys are read is taken for a new one"
-    DROPS_FAILED = "a run that failed frees its key"
-    TAKES_BACK_SENT = "an intent is taken back after its run was sent"
-    REJECTS_PREVIOUS = "an attempt of an earlier incarnation's key may be rejected as unrun"
+    LAUNCH_FIRST = "a run is sent before its intent is durable"
+    ANSWER_FIRST = "a result is answered before it is durable"
+    FORGETS_INTENTS = "intents without an outcome are forgotten at a start"
+    RUNS_LOADING = "an attempt that arrives before the keys are loaded is treated as new"
+    DROPS_FAILED = "a failed run releases its key"
+    TAKES_BACK_SENT = "an intent is deleted after its run was sent"
+    REJECTS_PREVIOUS = "an attempt with a key of an earlier incarnation may be rejected as not run"
 
 
 class NodeState(Enum):
-    """What the node knows of the key."""
+    """The node's state of the key."""
 
     DOWN = 0
     LOADING = 1
-    NEW = 2  # nothing
-    WRITING = 3  # the intent is on its way to the disk
+    NEW = 2  # the key is unknown
+    WRITING = 3  # the intent is being written
     RUNNING = 4
-    ENDING = 5  # the outcome is on its way to the disk
+    ENDING = 5  # the outcome is being written
     SERVED = 6
     FAILED = 7
-    PREVIOUS = 8  # what the disk says
+    PREVIOUS = 8  # recorded by an earlier incarnation, as stored on the disk
 
 
 class DiskRecord(Enum):
-    """What a start would find of the key."""
+    """The record of the key that a start would find on the disk."""
 
     NOTHING = 0
     INTENT = 1
@@ -58,8 +59,18 @@
 
 
 class State(NamedTuple):
-    """One state of the model. `writing`: what is on its way to the disk; `sent`: a run may yet take effect;
-    `answered`: with the result; `breached`: an attempt got a wrong answer.
+    """One state of the model.
+
+    Attributes:
+        node: the node's state of the key.
+        disk: the durable record.
+        writing: the record of a write in progress.
+        sent: whether a run was sent that may still take effect.
+        effects: how often the request took effect.
+        answered: whether an attempt was answered with the result.
+        crashes_left: maximum number of further crashes.
+        attempts_left: maximum number of further attempts.
+        answered_wrongly: whether an attempt got an answer that violates a rule.
     """
 
     node: NodeState = NodeState.LOADING
@@ -70,30 +81,35 @@
     answered: bool = False
     crashes_left: int = MAX_CRASHES
     attempts_left: int = MAX_ATTEMPTS
-    breached: bool = False
+    answered_wrongly: bool = False
 
     @property
-    def is_breach(self) -> bool:
-        """Whether the state is a breach."""
-        return self.breached or self.effects > 1
+    def is_violation(self) -> bool:
+        """Whether the state violates a rule."""
+        return self.answered_wrongly or self.effects > 1
 
 
 @dataclass(frozen=True, slots=True)
 class SearchResult:
-    """The number of states visited, and of the steps of a way to a breach if there is one."""
+    """Result of a search.
+
+    Attributes:
+        states: number of states visited.
+        steps: number of steps on the path to the violation that was found; None if there is none.
+    """
 
     states: int
     steps: int | None
 
 
 def search(mistake: Mistake = Mistake.NONE) -> SearchResult:
-    """Visit every state until a breach."""
+    """Visit all reachable states, depth first, until a violation is found."""
     visited = {State()}
     stack = [(State(), 0)]
     while stack:
         state, steps = stack.pop()
         for successor in _successors(state, mistake):
-            if successor.is_breach:
+            if successor.is_violation:
                 return SearchResult(len(visited), steps + 1)
             if successor not in visited:
                 visited.add(successor)
@@ -105,57 +121,57 @@
     if state.sent:
         yield state._replace(sent=False, effects=state.effects + 1)
     if state.writing is not None:
-        yield _written(state, state.writing)
+        yield _complete_write(state, state.writing)
     if state.node is NodeState.DOWN:
         yield state._replace(node=NodeState.LOADING)
         return
     if state.crashes_left:
-        yield from _crashed(state)
+        yield from _crash(state)
     if state.node is NodeState.LOADING:
-        yield _loaded(state, mistake)
+        yield _load(state, mistake)
     if state.attempts_left:
-        yield from _attempted(state._replace(attempts_left=state.attempts_left - 1), mistake)
-    if state.node is NodeState.WRITING and state.writing is DiskRecord.INTENT:  # the write takes too long
-        yield _answered_as_unrun(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING))
+        yield from _handle_attempt(state._replace(attempts_left=state.attempts_left - 1), mistake)
+    if state.node is NodeState.WRITING and state.writing is DiskRecord.INTENT:  # the write timed out
+        yield _answer_not_run(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING))
     if state.node is NodeState.RUNNING:
-        yield from _ended(state, mistake)
+        yield from _end_run(state, mistake)
 
 
-def _written(state: State, record: DiskRecord) -> State:
-    """The disk reports a write."""
-    done = state._replace(disk=record, writing=None)
+def _complete_write(state: State, record: DiskRecord) -> State:
+    """Return the state after the disk has acknowledged the write."""
+    written = state._replace(disk=record, writing=None)
     if state.node is NodeState.WRITING and record is DiskRecord.INTENT:
-        return done._replace(node=NodeState.RUNNING, sent=True)
+        return written._replace(node=NodeState.RUNNING, sent=True)
     if state.node is NodeState.ENDING:
         is_served = record is DiskRecord.SERVED
         node = NodeState.SERVED if is_served else NodeState.FAILED
-        return done._replace(node=node, answered=state.answered or is_served)
-    return done
+        return written._replace(node=node, answered=state.answered or is_served)
+    return written
 
 
-def _crashed(state: State) -> Iterator[State]:
-    """The node crashes; a write in flight is on the disk or not."""
+def _crash(state: State) -> Iterator[State]:
+    """Yield the states after a crash; a write in progress may or may not have reached the disk."""
     crashed = state._replace(node=NodeState.DOWN, writing=None, crashes_left=state.crashes_left - 1)
     yield crashed
     if state.writing is not None:
         yield crashed._replace(disk=state.writing)
 
 
-def _loaded(state: State, mistake: Mistake) -> State:
-    """A start has read the disk."""
+def _load(state: State, mistake: Mistake) -> State:
+    """Return the state after a starting node has read the disk."""
     is_forgotten = mistake is Mistake.FORGETS_INTENTS and state.disk is DiskRecord.INTENT
     disk = DiskRecord.NOTHING if is_forgotten else state.disk
     node = NodeState.NEW if disk is DiskRecord.NOTHING else NodeState.PREVIOUS
     return state._replace(disk=disk, node=node)
 
 
-def _attempted(state: State, mistake: Mistake) -> Iterator[State]:
-    """An attempt comes."""
+def _handle_attempt(state: State, mistake: Mistake) -> Iterator[State]:
+    """Yield the states after the arrival of an attempt."""
     is_new = state.node is NodeState.NEW
     if mistake is Mistake.RUNS_LOADING:
         is_new = is_new or state.node is NodeState.LOADING
     if is_new and state.writing is None:
-        yield _answered_as_unrun(state)  # rejected for load
+        yield _answer_not_run(state)  # rejected for load
         if mistake is Mistake.LAUNCH_FIRST:
             yield state._replace(node=NodeState.RUNNING, writing=DiskRecord.INTENT, sent=True)
         else:
@@ -163,40 +179,41 @@
     elif _has_result(state):
         yield state._replace(answered=True)
     elif state.node in (NodeState.FAILED, NodeState.PREVIOUS):
-        yield state._replace(breached=state.answered)  # answered that it may have run
+        yield state._replace(answered_wrongly=state.answered)  # answer: the request may have run
         if mistake is Mistake.REJECTS_PREVIOUS:
-            yield _answered_as_unrun(state)
+            yield _answer_not_run(state)
 
 
 def _has_result(state: State) -> bool:
+    """Return whether the node can answer with the result of the key."""
     is_stored = state.node is NodeState.PREVIOUS and state.disk is DiskRecord.SERVED
     return state.node is NodeState.SERVED or is_stored
 
 
-def _answered_as_unrun(state: State) -> State:
-    """An attempt gets the answer that it never ran."""
-    return state._replace(breached=state.effects > 0 or state.sent or state.answered)
+def _answer_not_run(state: State) -> State:
+    """Return the state after an attempt was answered as not run."""
+    return state._replace(answered_wrongly=state.effects > 0 or state.sent or state.answered)
 
 
-def _ended(state: State, mistake: Mistake) -> Iterator[State]:
-    """A run has ended, with whatever outcome."""
+def _end_run(state: State, mistake: Mistake) -> Iterator[State]:
+    """Yield the states after the node considers the run over, for each possible outcome."""
     if state.writing is not None:
-        return  # the intent of LAUNCH_FIRST: outcomes wait behind it
+        return  # LAUNCH_FIRST: the intent is still being written, and writes complete in order
     if state.effects:
         answered = state.answered or mistake is Mistake.ANSWER_FIRST
         yield state._replace(node=NodeState.ENDING, writing=DiskRecord.SERVED, answered=answered)
     if mistake is Mistake.DROPS_FAILED:
         yield state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING)
-    else:  # failed, whether it had its effect, or has it yet
+    else:  # failed, whether or not the run has taken effect or still will
         yield state._replace(node=NodeState.ENDING, writing=DiskRecord.FAILED)
-    if not state.effects and state.sent:  # it never began there
-        yield _answered_as_unrun(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING, sent=False))
+    if not state.effects and state.sent:  # the backend never started the run
+        yield _answer_not_run(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING, sent=False))
     if mistake is Mistake.TAKES_BACK_SENT:
-        yield _answered_as_unrun(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING))
+        yield _answer_not_run(state._replace(node=NodeState.NEW, writing=DiskRecord.NOTHING))
 
 
 def main() -> None:
-    """Search every state, without a mistake and with each."""
+    """Run the search without a mistake and with each one, and print the results."""
     for mistake in Mistake:
         print(f"{mistake.value}: {search(mistake)}")
 
--- a/shelfhaven/lab/state_node.py
+++ b/shelfhaven/lab/state_node.py
@@ -1,6 +1,6 @@
-"""A durable key store on a disk that stalls or fails on command.
+"""A durable key store whose commits can be stalled or made to fail by a test.
 
-Owns the gate before each commit and the fault that a commit raises. It never changes what is written.
+A gate and an error are applied before each commit; the written data is never changed.
 """
 
 from __future__ import annotations
@@ -19,18 +19,23 @@
 from shelfhaven.state.settings import StateSettings, SyncMode
 from shelfhaven.state.store import Store
 
-MAX_STALL = 10.0  # seconds after which a commit goes on by itself
+MAX_STALL = 10.0  # seconds after which a stalled commit continues by itself
 KEY_TTL = 8.0  # seconds
 DEADLINE = 3.0  # seconds
 
 
 def key(number: int) -> bytes:
-    """The digest of a key."""
+    """Return the digest of the key with this number."""
     return number.to_bytes(2, "big") * 8
 
 
 class CommitFaults:
-    """Stalls commits while the gate is closed, and fails them while there is an error."""
+    """Stalls commits while the gate is closed and fails them while an error is set.
+
+    Attributes:
+        gate: commits wait while this event is not set.
+        error: the exception that commits raise; None for no fault.
+    """
 
     def __init__(self) -> None:
         self.gate = threading.Event()
@@ -38,27 +43,34 @@
         self.error: Exception | None = None
 
     def apply(self) -> None:
-        """Called before each commit. Raises the error."""
+        """Apply the faults before a commit: wait for the gate, then raise the error if one is set."""
         self.gate.wait(MAX_STALL)
         if self.error:
             raise self.error
 
 
 class FaultyStore(Store):
-    """A store whose commits are subject to faults."""
+    """A store with injected commit faults."""
 
     def __init__(self, path: Path, faults: CommitFaults) -> None:
         super().__init__(path, sync=True)
         self._faults = faults
 
     def commit(self, mutations: Sequence[Mutation], boot: int, now: float) -> None:
-        """Do all mutations or none, if the faults allow it."""
+        """Apply the faults, then commit all mutations atomically."""
         self._faults.apply()
         super().commit(mutations, boot, now)
 
 
 class Node:
-    """A key store and the messages that it has sent to the core."""
+    """A key store and the messages that it sends to the core.
+
+    Attributes:
+        settings: the settings of the key store.
+        messages: all messages sent so far.
+        faults: the faults of the store's commits.
+        state: the key store.
+    """
 
     def __init__(
         self,
@@ -84,29 +96,29 @@
         return FaultyStore(self.settings.file, self.faults)
 
     async def up(self) -> Node:
-        """Start, and wait until the keys of earlier incarnations are read."""
+        """Start the key store, wait until the keys of earlier incarnations are loaded, and return self."""
         self.state.start()
         await soon(lambda: self.state.disk.loaded)
         return self
 
     def intend(self, number: int, time_left: float = KEY_TTL + DEADLINE) -> None:
-        """Ask for a run under a key; the request has the key's number."""
+        """Record the intent to run the key with this number; the number is also the request id."""
         durable_key = messages.DurableKey(key(number), "topup", "one", f"k{number}", time_left)
         self.state.record_intent(number, durable_key)
 
     def left(self, number: int) -> float:
-        """Seconds for which a key of an earlier incarnation still counts."""
+        """Return how many seconds a key of an earlier incarnation remains valid; 0 if not recorded."""
         previous = self.state.find_previous(key(number), KEY_TTL)
         return previous.valid_for if previous and previous.is_recorded else 0.0
 
     def uncertain_for(self) -> float:
-        """Seconds for which any key may have been run by an earlier incarnation."""
+        """Return for how many seconds any unrecorded key counts as possibly run by an earlier incarnation."""
         return self.state.previous.uncertain_for(boottime())
 
     async def run(
         self, number: int, result: bytes | None = b"done", time_left: float = KEY_TTL + DEADLINE
     ) -> None:
-        """A run from its intent to its outcome."""
+        """Record the intent and the outcome of a run and wait until both are durable."""
         self.intend(number, time_left)
         await soon(lambda: messages.IntentRecorded(number, True) in self.messages)
         assert self.state.record_outcome(number, key(number), result)
--- a/tests/lab/test_callers.py
+++ b/tests/lab/test_callers.py
@@ -1,4 +1,4 @@
-"""The laboratory's clients: what a router's connection tells its user when it ends."""
+"""Tests of the lab's `Router` client: waiting for answers fails when the connection ends."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ConnectedRouter(NamedTuple):
-    """A router, and the server that it is connected to."""
+    """A router and the server that it is connected to."""
 
     router: Router
     server: asyncio.Server
 
 
 async def connect_router(close_after_bytes: int) -> ConnectedRouter:
-    """Connect a router to a server that closes each connection once it has read so many bytes."""
+    """Connect a router to a server that closes each connection after reading this number of bytes."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(close_after_bytes)
@@ -34,10 +34,10 @@
 def test_waiting_for_an_answer_fails_when_the_connection_ends() -> None:
     async def check() -> None:
         router, server = await connect_router(close_after_bytes=1)
-        waiting = [asyncio.ensure_future(router.wait_for_answer(id_)) for id_ in (1, 2)]
-        await asyncio.sleep(0)  # both wait before the connection ends
+        futures = [asyncio.ensure_future(router.wait_for_answer(id_)) for id_ in (1, 2)]
+        await asyncio.sleep(0)  # let both tasks start to wait before the connection ends
         router.request(1)
-        for future in waiting:
+        for future in futures:
             with pytest.raises(ConnectionError):
                 await asyncio.wait_for(future, 5.0)
         assert router.ended
--- a/tests/lab/test_uwsgi_benchmark.py
+++ b/tests/lab/test_uwsgi_benchmark.py
@@ -1,4 +1,9 @@
-"""The uwsgi benchmark on a machine so loaded that a round lasts longer than the node waits for a message."""
+"""Test of the uwsgi benchmark on an overloaded machine.
+
+A round of uwsgi requests may then last longer than the node's message timeout. The node closes
+a connection on which no message arrives within that time, so the benchmark must not open its router
+connections before such a round.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +20,17 @@
 from tests.peers import run_async
 
 
-def test_routers_connections_outlast_slow_rounds_of_the_other_protocols(
+def test_router_connections_survive_slow_rounds_of_other_protocols(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def ask_slowly(listener: Address | Path, method: str, path: str) -> Reply:
+    async def slow_ask(listener: Address | Path, method: str, path: str) -> Reply:
         await asyncio.sleep(MESSAGE_TIMEOUT_S + 3 * WATCH_INTERVAL_S)
         return await ask(listener, method, path)
 
     async def check() -> None:
-        monkeypatch.setattr(uwsgi, "ask", ask_slowly)
-        spent = await uwsgi.cpu_by_protocol(count=2, rounds=2)
-        assert {name: len(values) for name, values in spent.items()} == {
+        monkeypatch.setattr(uwsgi, "ask", slow_ask)
+        cpu_times = await uwsgi.cpu_by_protocol(count=2, rounds=2)
+        assert {name: len(values) for name, values in cpu_times.items()} == {
             "uwsgi": 2,
             "uwsgi_kept": 2,
             "jsonrpc": 2,
--- a/tests/membership/test_fleet_checker.py
+++ b/tests/membership/test_fleet_checker.py
@@ -34,7 +34,7 @@
             {},
             "shrank",
         ),  # five removed too soon
-        ([], {7: 99}, "99 asks"),
+        ([], {7: 99}, "99 requests"),
         ([{"at": 1, "server": "n1", "event": "unhandled", "message": "x"}], {}, "unhandled"),
     ],
 )
