--- a/benchmarks/coldstart_simulation.py
+++ b/benchmarks/coldstart_simulation.py
@@ -127,4 +127,4 @@
 
 def _restart(fleet: MembershipSimulation, address: str) -> None:
     fleet.kill(address)
-    fleet.after(RESTART_S, partial(fleet.begin, address))
+    fleet.after(RESTART_S, partial(fleet.start_node, address))
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -83,7 +83,7 @@
         self.on_launch = self._launch
 
     def _launch(self, run_id: str) -> None:
-        act = self.call_downstream if self.random.random() < CALL_FRACTION else self.passed
+        act = self.call_downstream if self.random.random() < CALL_FRACTION else self.pass_run
         asyncio.get_running_loop().call_later(self.random.expovariate(RUNS_PER_S), act, run_id)
 
     def passed(self, run_id: str) -> None:
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -364,8 +364,8 @@
             table.add(f"start {count}", recover_in_new_process(path) | {"bytes_a_key": bytes_per_key})
         table.add("churn", churn(Path(folder) / "churn", extent.churn_seconds, 100, 60))
     crashes = search(3)
-    breaches = len(crashes.breaches)
-    table.add("crashes", {"calls": crashes.calls, "points": crashes.points, "rules_broken": breaches})
+    breaches = len(crashes.violations)
+    table.add("crashes", {"calls": crashes.calls, "points": crashes.images, "rules_broken": breaches})
     return table.rows
 
 
--- a/benchmarks/uwsgi.py
+++ b/benchmarks/uwsgi.py
@@ -242,7 +242,7 @@
     violations: list[str] = []
     weights: dict[LoadAndProtocol, float] = {}
     for load in (1.0, 2.0):
-        result = await demo.run_scenario(seconds, load, 3, progress=False, dying=False)
+        result = await demo.run_scenario(seconds, load, 3, progress=False, with_server_outage=False)
         violations += checker.find_violations(result.attempts, result.runs, OVERLOAD_TOLERANCE_S)
         if result.exit_code:
             violations.append(f"the node ended with {result.exit_code}")
--- a/shelfhaven/lab/callers.py
+++ b/shelfhaven/lab/callers.py
@@ -22,7 +22,7 @@
 
 Message: TypeAlias = dict[str, Any]  # a decoded JSON-RPC message
 
-SOON = 10.0  # seconds; time limit of one step of a test
+STEP_TIMEOUT_S = 10.0  # seconds; time limit of one step of a test
 POLL_INTERVAL_S = 0.002
 READ_SIZE = 64 * 1024  # bytes
 ENDED_UNANSWERED = "the connection ended before the answer arrived"
@@ -33,16 +33,16 @@
     """Wait until the condition is true.
 
     Raises:
-        TimeoutError: the condition did not become true within `SOON`.
+        TimeoutError: the condition did not become true within `STEP_TIMEOUT_S`.
     """
-    await wait_until(condition, SOON, POLL_INTERVAL_S)
+    await wait_until(condition, STEP_TIMEOUT_S, POLL_INTERVAL_S)
 
 
 class Router:
     """One connection of a router.
 
     Attributes:
-        got: all messages received so far, decoded.
+        received: all messages received so far, decoded.
         ended: whether the connection has ended.
         pending: futures of the answers that `wait_for_answer` waits for, by request id.
         task: the task that reads from the connection.
@@ -52,7 +52,7 @@
         self.reader = reader
         self.writer = writer
         self.parser = jsonrpc.FrameParser()
-        self.got: list[Message] = []
+        self.received: list[Message] = []
         self.ended = False
         self._shutdown_received = False
         self.pending: dict[int, asyncio.Future[Message]] = {}
@@ -63,7 +63,7 @@
             with contextlib.suppress(ConnectionError):
                 while data := await self.reader.read(READ_SIZE):
                     messages = [orjson.loads(body) for body in self.parser.feed(data)]
-                    self.got += messages
+                    self.received += messages
                     for message in messages:
                         self._handle_message(message)
         finally:
@@ -103,14 +103,14 @@
         self.send({"jsonrpc": "2.0", "id": id_, "method": method, "params": params})
         return str(params["call"])
 
-    def of(self, id_: int) -> list[Message]:
+    def messages_for(self, id_: int) -> list[Message]:
         """Return all messages received with this id, in order of arrival."""
-        return [message for message in self.got if message.get("id") == id_]
+        return [message for message in self.received if message.get("id") == id_]
 
     async def answer(self, id_: int) -> Message:
         """Wait for the first answer to this request and return it."""
-        await until(lambda: self.of(id_))
-        return self.of(id_)[0]
+        await until(lambda: self.messages_for(id_))
+        return self.messages_for(id_)[0]
 
     async def wait_for_answer(self, id_: int) -> Message:
         """Wait for the answer to a request that was just sent.
--- a/shelfhaven/lab/demo.py
+++ b/shelfhaven/lab/demo.py
@@ -265,7 +265,12 @@
 
 
 async def run_scenario(
-    seconds: float, load: float, seed: int, progress: bool = True, drain_at: float = 2.0, dying: bool = True
+    seconds: float,
+    load: float,
+    seed: int,
+    progress: bool = True,
+    drain_at: float = 2.0,
+    with_server_outage: bool = True,
 ) -> ScenarioResult:
     """Run the scenario against a new node process.
 
@@ -276,7 +281,7 @@
         progress: whether to print progress to standard error.
         drain_at: fraction of the duration after which the node is told to shut down, while requests continue
             to arrive; above 1 the load ends first.
-        dying: whether one backend is stopped between `STOP_AT` and `RESTART_AT`.
+        with_server_outage: whether one backend is stopped between `STOP_AT` and `RESTART_AT`.
     """
     runs: list[ExecutedRun] = []
     backends = [BackendStub(f"vendor-{n}", runs, WORKERS, MEAN_RUN_S, seed + n) for n in range(SERVERS)]
@@ -293,7 +298,7 @@
     async with run_node(text, proxies) as node:
         await load_generator.open()
         shutdown = asyncio.get_running_loop().call_later(drain_at * seconds, node.begin_shutdown)
-        await _drive(load_generator, backends if dying else [], seconds, load, seed, progress)
+        await _drive(load_generator, backends if with_server_outage else [], seconds, load, seed, progress)
         shutdown.cancel()
         exit_code = await node.shut_down()
     await proxy.close()
--- a/shelfhaven/lab/election_checker.py
+++ b/shelfhaven/lab/election_checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from shelfhaven.lab.fleet_checker import LogLine, faults
+from shelfhaven.lab.fleet_checker import LogLine, find_internal_errors
 
 LEADING_STATES = ("holding", "handing on")  # in the words of the log
 
@@ -180,5 +180,5 @@
     idempotent: bool = True,
 ) -> list[str]:
     """Return every breach, in words; `tolerance`: seconds for which two nodes may believe that they lead."""
-    found = faults(history) + find_effect_breaches(actions, idempotent)
+    found = find_internal_errors(history) + find_effect_breaches(actions, idempotent)
     return found + find_overlaps(find_leaderships(history), tolerance) + find_reused_tokens(history)
--- a/shelfhaven/lab/failover_checker.py
+++ b/shelfhaven/lab/failover_checker.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Sequence
 
 from shelfhaven.lab.backend_stub import ExecutedRun
-from shelfhaven.lab.fleet_checker import LogLine, faults
+from shelfhaven.lab.fleet_checker import LogLine, find_internal_errors
 
 ROUNDING = 1e-6  # of fractions in the log
 
@@ -64,7 +64,7 @@
 ) -> list[str]:
     """Every violation, in words."""
     return [
-        *faults(history),
+        *find_internal_errors(history),
         *epoch_violations(history),
         *diverted_violations(history, zones, max_diverted),
         *duplicate_runs(ran),
--- a/shelfhaven/lab/fleet.py
+++ b/shelfhaven/lab/fleet.py
@@ -141,7 +141,7 @@
         last_start = max((n for n, line in enumerate(lines) if line["event"] == STARTED), default=-1)
         return [line for line in lines[last_start + 1 :] if line["event"] == name]
 
-    def knows(self) -> int:
+    def known_node_count(self) -> int:
         """Return the number of nodes on the node's endpoint list, according to its log."""
         changes = self.events("list_changed")
         return int(changes[-1]["nodes"]) if changes else 0
@@ -367,7 +367,7 @@
 
     def all_know(self, count: int) -> bool:
         """Return whether every running node has this number of nodes on its endpoint list."""
-        return all(node.knows() == count for node in self.running())
+        return all(node.known_node_count() == count for node in self.running())
 
     def whole_history(self) -> list[LogLine]:
         """Return all operations and log lines of all nodes, ordered by time."""
--- a/shelfhaven/lab/fleet_checker.py
+++ b/shelfhaven/lab/fleet_checker.py
@@ -55,7 +55,7 @@
     retained: list[EntryCount] = field(default_factory=list)
 
 
-def faults(history: Iterable[LogLine]) -> list[str]:
+def find_internal_errors(history: Iterable[LogLine]) -> list[str]:
     """Return a description of each internal error that a node logged."""
     return [
         f"{line['server']}: {line['event']}: {line.get('error') or line.get('message')}"
@@ -75,7 +75,7 @@
         limits: the configured limits.
     """
     lines = list(history)
-    violations = faults(lines)
+    violations = find_internal_errors(lines)
     incarnations: dict[str, Incarnation] = {}
     for line in lines:
         node = str(line["server"])
--- a/shelfhaven/lab/membership_simulation.py
+++ b/shelfhaven/lab/membership_simulation.py
@@ -113,8 +113,8 @@
         fleet_start: how the fleet starts.
         members: the members of running nodes, by address.
         wakes: the next time at which a member is woken, by address.
-        stopped: addresses of nodes whose process is suspended.
-        cut: tells whether the link from a source to a target, each an address or `SERVICE`, is cut.
+        suspended: addresses of nodes whose process is suspended.
+        is_cut: tells whether the link from a source to a target, each an address or `SERVICE`, is cut.
         peer_polls: number of polls of each peer, by address.
         peer_entries_sent: number of list entries that peers sent each other.
         listed_at: time of the first registration since a node's last start, by address.
@@ -135,8 +135,8 @@
         self.fleet_start = start or FleetStart()
         self.members: dict[str, Member] = {}
         self.wakes: dict[str, float] = {}
-        self.stopped: set[str] = set()
-        self.cut: Callable[[str, str], bool] = _no_cut
+        self.suspended: set[str] = set()
+        self.is_cut: Callable[[str, str], bool] = _no_cut
         self.peer_polls: Counter[str] = Counter()
         self.peer_entries_sent = 0
         self.listed_at: dict[str, float] = {}
@@ -146,7 +146,7 @@
         self.identities = {identity.address: identity for identity in identities}
         self.neighbours = [identity.address for identity in identities[: self.fleet_start.neighbours]]
         for identity in identities:
-            begin = partial(self.begin, identity.address, self.fleet_start.cached_list)
+            begin = partial(self.start_node, identity.address, self.fleet_start.cached_list)
             self.at(self.random.uniform(*self.fleet_start.window), begin)
         self._expire()
 
@@ -156,7 +156,7 @@
 
     # Nodes
 
-    def begin(self, address: str, cached_list: ListSnapshot | None = None) -> None:
+    def start_node(self, address: str, cached_list: ListSnapshot | None = None) -> None:
         """Start a node; its only state is its cached list, if any."""
         self.started[address] = self.now
         self.listed_at.pop(address, None)
@@ -166,22 +166,22 @@
         member = self.fleet_start.member_type(self.settings, self.identities[address], random, start)
         self.members[address] = member
         self.wakes.pop(address, None)
-        self.tell(address, member, NodeReady())
+        self.deliver(address, member, NodeReady())
 
     def kill(self, address: str) -> None:
         """Kill a node; its lease is not revoked and expires."""
         self.members.pop(address, None)
         self.service.watchers.pop(address, None)
 
-    def tell(self, address: str, member: Member, event: Event) -> None:
+    def deliver(self, address: str, member: Member, event: Event) -> None:
         """Deliver an event to a member.
 
         The event is delayed while the process is suspended and dropped if the node was killed or restarted.
         """
         if self.members.get(address) is not member:
             return
-        if address in self.stopped:
-            self.after(SUSPENDED_RETRY_S, lambda: self.tell(address, member, event))
+        if address in self.suspended:
+            self.after(SUSPENDED_RETRY_S, lambda: self.deliver(address, member, event))
             return
         self.execute_actions(address, member, member.on(self.now, event))
 
@@ -208,7 +208,7 @@
         """Wake a member, unless it was killed, restarted or rescheduled meanwhile."""
         if self.members.get(address) is not member or self.wakes.get(address) != due:
             return
-        if address in self.stopped:
+        if address in self.suspended:
             self.wakes[address] = self.now + SUSPENDED_RETRY_S
             self.after(SUSPENDED_RETRY_S, lambda: self.wake(address, member, self.wakes[address]))
             return
@@ -220,31 +220,31 @@
     def poll_peer(self, address: str, member: Member, action: PollPeer) -> None:
         """A poll of one node by another."""
         self.peer_polls[action.peer] += 1
-        report = _FirstResult(partial(self.tell, address, member))
+        report = _FirstResult(partial(self.deliver, address, member))
         self.after(self.delay(), lambda: self._answer_poll(address, action, report))
         self.after(PEER_TIMEOUT_S, lambda: report(PeerFailed(action.peer)))
 
     def _answer_poll(self, address: str, poll: PollPeer, report: _FirstResult) -> None:
         polled = self.members.get(poll.peer)
-        if polled is None or poll.peer in self.stopped or self.cut(address, poll.peer):
+        if polled is None or poll.peer in self.suspended or self.is_cut(address, poll.peer):
             return
-        self.tell(poll.peer, polled, PolledByPeer(address))
+        self.deliver(poll.peer, polled, PolledByPeer(address))
         snapshot = polled.endpoint_list.snapshot(self.now, poll.since)
         self.peer_entries_sent += len(snapshot.items) + len(snapshot.removed)
         contacts = polled.peers.sample_contacts(CONTACTS_PER_ANSWER)
-        if not self.cut(poll.peer, address):
+        if not self.is_cut(poll.peer, address):
             event = PeerAnswered(poll.peer, snapshot, True, contacts)
             self.after(self.delay(), lambda: report(event))
 
     def request_service(self, address: str, member: Member, action: Action) -> None:
         """Send a request to the list service, which counts it on arrival and answers in queue order."""
-        report = _FirstResult(partial(self.tell, address, member))
+        report = _FirstResult(partial(self.deliver, address, member))
         self.after(self.delay(), lambda: self._reach_service(address, member, action, report))
         if failure := _timeout_event(action):
             self.after(SERVICE_TIMEOUT_S, lambda: report(failure))
 
     def _reach_service(self, address: str, member: Member, action: Action, report: _FirstResult) -> None:
-        if self.cut(address, SERVICE):
+        if self.is_cut(address, SERVICE):
             return
         requests = REQUESTS_PER_REGISTRATION if isinstance(action, RegisterSelf) else 1
         self.service.count_request(self.now, type(action).__name__, requests)
@@ -256,7 +256,7 @@
         if not self.service.up:
             return
         event = self.answer(address, member, action)
-        if not self.cut(SERVICE, address):
+        if not self.is_cut(SERVICE, address):
             self.after(self.delay(), lambda: report(event))
 
     # The list service
@@ -289,13 +289,13 @@
         def notify(revision: int, put: Mapping[str, Endpoint], removed: tuple[str, ...]) -> None:
             """Send a watch event to the member."""
             event = WatchEventReceived(store, revision, put, removed)
-            if not self.cut(SERVICE, address):
-                self.after(self.delay(), lambda: self.tell(address, member, event))
+            if not self.is_cut(SERVICE, address):
+                self.after(self.delay(), lambda: self.deliver(address, member, event))
 
         def report_progress() -> None:
             """Send a progress notification at each interval while the watch is open."""
             if service.watchers.get(address) is notify:
-                if service.up and not self.cut(address, SERVICE):
+                if service.up and not self.is_cut(address, SERVICE):
                     service.count_request(self.now, "Progress")
                     notify(service.revision, {}, ())
                 self.after(PROGRESS_INTERVAL_S, report_progress)
--- a/shelfhaven/lab/platform.py
+++ b/shelfhaven/lab/platform.py
@@ -42,7 +42,7 @@
         self.launched: list[tuple[str, str, bytes]] = []
         self.delivered: list[tuple[str, bytes]] = []
         self.commands: list[str] = []
-        self.on_launch: Callable[[str], None] = self.passed
+        self.on_launch: Callable[[str], None] = self.pass_run
         self.state = "LOADED"
         self.started_at = time.monotonic()
         self.gauges = "0.5 1 0.1 3"
@@ -78,7 +78,7 @@
                 self.on_launch(run_id)
             case ["deliver", run_id, _]:
                 self.delivered.append((run_id, body))
-                self.passed(run_id)
+                self.pass_run(run_id)
             case ["sample", tag]:
                 self.send(f"sampled {tag} {self.gauges}\r\n".encode())
 
@@ -94,7 +94,7 @@
         self.notices.append(data)
         self.send(data)
 
-    def passed(self, run_id: str) -> None:
+    def pass_run(self, run_id: str) -> None:
         """Report a run as succeeded; as `on_launch`, every run succeeds at once."""
         self.notice(f"outcome # {run_id} PASS 5", b"made for " + run_id.encode())
 
--- a/shelfhaven/lab/proxy.py
+++ b/shelfhaven/lab/proxy.py
@@ -18,7 +18,7 @@
 from shelfhaven.lab.callers import Reply
 from shelfhaven.protocol.pb import core_pb2, extproc_pb2, mode_pb2
 
-METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
+PROCESS_METHOD = "/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH_METHOD = "/grpc.health.v1.Health/Check"
 SERVING = b"\x08\x01"  # HealthCheckResponse with the status SERVING
 HEALTH_TIMEOUT = 1.0  # seconds
@@ -129,7 +129,7 @@
             self.channel = grpc.aio.secure_channel(f"127.0.0.1:{port}", tls, options=options)
         else:
             self.channel = grpc.aio.insecure_channel(f"127.0.0.1:{port}", options=options)
-        self.process: ProcessMethod = self.channel.stream_stream(METHOD)
+        self.process: ProcessMethod = self.channel.stream_stream(PROCESS_METHOD)
         self.upstream: Upstream = self.serve
         self.fail_open = False
         self.honours_mode_overrides = True
@@ -158,14 +158,14 @@
         """Serve a request at once; the default upstream."""
         return UpstreamResponse(200, result_for(request.body, request.path))
 
-    def begin(self, method: str, path: str, body: bytes = b"", **headers: str) -> Consultation:
+    def open_consultation(self, method: str, path: str, body: bytes = b"", **headers: str) -> Consultation:
         """Open a stream for a new request without sending the first message."""
         request = new_request(method, path, body, headers)
         return Consultation(self.process(), first_message(request), request)
 
     async def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> ProxiedRequest:
         """Send one request through the proxy and return it with its outcome."""
-        stream, first, request = self.begin(method, path, body, **headers)
+        stream, first, request = self.open_consultation(method, path, body, **headers)
         try:
             response = await self._verdict(stream, first, request)
         except grpc.aio.AioRpcError as error:
--- a/shelfhaven/lab/state_crashes.py
+++ b/shelfhaven/lab/state_crashes.py
@@ -84,7 +84,7 @@
             store.database.close()
 
 
-def play_sequence() -> int:
+def run_sequence() -> int:
     """Run the sequence until it ends or the power is lost; return the number of acknowledged commits."""
     acknowledged = 0
     store = None
@@ -139,13 +139,13 @@
 
     Attributes:
         calls: number of modifying disk calls at which the power was lost.
-        points: number of disk images checked.
-        breaches: descriptions of all violations.
+        images: number of disk images checked.
+        violations: descriptions of all violations.
     """
 
     calls: int = 0
-    points: int = 0
-    breaches: list[str] = field(default_factory=list)
+    images: int = 0
+    violations: list[str] = field(default_factory=list)
 
 
 def search(seed: int) -> SearchResult:
@@ -158,11 +158,11 @@
         result.calls += 1
         disk = CrashDisk()
         disk.power_loss_at = result.calls
-        acknowledged = play_sequence()
+        acknowledged = run_sequence()
         images = disk.images_after_power_loss(random)
         disk.close()
         for files in images:
-            result.points += 1
+            result.images += 1
             # the commit in progress must be stored completely or not at all
             _check_image(files, states[acknowledged : acknowledged + 2], acknowledged, result)
     return result
@@ -176,10 +176,10 @@
     recovered = recovered_keys(files)
     state = stored or {}
     if state not in allowed or (stored is None and acknowledged):
-        result.breaches.append(
+        result.violations.append(
             f"call {result.calls}, after {acknowledged} commits: unexpected state with {len(state)} keys"
         )
     if recovered != set(state):
-        result.breaches.append(
+        result.violations.append(
             f"call {result.calls}: the store recovers other keys than are stored, {len(recovered)} in number"
         )
--- a/shelfhaven/lab/state_fleet.py
+++ b/shelfhaven/lab/state_fleet.py
@@ -28,20 +28,20 @@
     Attributes:
         fleet: the nodes.
         backend: the backend that all nodes use.
-        ran: the runs that the backend executed, in order of their start.
+        runs: the runs that the backend executed, in order of their start.
     """
 
-    def __init__(self, nodes: Fleet, backend: BackendStub, ran: list[ExecutedRun]) -> None:
+    def __init__(self, nodes: Fleet, backend: BackendStub, runs: list[ExecutedRun]) -> None:
         self.fleet = nodes
         self.backend = backend
-        self.ran = ran
+        self.runs = runs
 
     @property
     def node(self) -> FleetNode:
         """The first node."""
         return next(iter(self.fleet.nodes.values()))
 
-    async def up(self, node: FleetNode | None = None) -> None:
+    async def start(self, node: FleetNode | None = None) -> None:
         """Start a node, by default the first, and wait until it has loaded its keys."""
         target = node or self.node
         await self.fleet.start(target)
@@ -50,9 +50,11 @@
     async def restart(self) -> None:
         """Kill the first node and start it again."""
         await self.fleet.kill(self.node)
-        await self.up()
+        await self.start()
 
-    async def topped_up(self, key: str, body: bytes = b"100", node: FleetNode | None = None) -> Reply | None:
+    async def request_topup(
+        self, key: str, body: bytes = b"100", node: FleetNode | None = None
+    ) -> Reply | None:
         """Send a keyed request and return the reply, or None if no complete reply arrived in time."""
         target = node or self.node
         with contextlib.suppress(OSError, TimeoutError, ValueError):
@@ -61,23 +63,23 @@
                 return reply if reply.status else None
         return None
 
-    async def served(self, key: str, body: bytes = b"100", node: FleetNode | None = None) -> bytes:
+    async def expect_served(self, key: str, body: bytes = b"100", node: FleetNode | None = None) -> bytes:
         """Send a keyed request, assert that it is served and return its result."""
-        reply = await self.topped_up(key, body, node)
+        reply = await self.request_topup(key, body, node)
         assert reply
         assert reply.status == 200
         return reply.body
 
-    async def failed(self, key: str, node: FleetNode | None = None) -> None:
+    async def expect_uncertain(self, key: str, node: FleetNode | None = None) -> None:
         """Send a keyed request and assert that it fails without a statement that it did not run."""
-        reply = await self.topped_up(key, node=node)
+        reply = await self.request_topup(key, node=node)
         assert reply
         assert reply.status >= 500
         assert not reply.not_run, "the key may have run, so the reply must not state that it did not"
 
     def runs_of(self, key: str) -> int:
         """Return how often the backend ran the request with this key."""
-        return sum(run.key == key for run in self.ran)
+        return sum(run.key == key for run in self.runs)
 
 
 @contextlib.asynccontextmanager
@@ -91,8 +93,8 @@
         topup: properties of the keyed class: its deadline and key TTL.
         with_routers: whether nodes also listen for routers.
     """
-    ran: list[ExecutedRun] = []
-    backend = BackendStub("v", ran, BACKEND_WORKERS, BACKEND_RUN_S)
+    runs: list[ExecutedRun] = []
+    backend = BackendStub("v", runs, BACKEND_WORKERS, BACKEND_RUN_S)
     store = EtcdStub(port_count=1)
     await backend.start()
     await store.start()
@@ -101,7 +103,7 @@
             count, store.port, [backend.address], topup=topup, with_routers=with_routers
         ) as nodes:
             nodes.values["key_store"] = f'keys file="{nodes.folder / "keys"}" sync="each"'
-            yield KeyStoreFleet(nodes, backend, ran)
+            yield KeyStoreFleet(nodes, backend, runs)
     finally:
         backend.stop()
         await store.stop()
--- a/shelfhaven/lab/state_node.py
+++ b/shelfhaven/lab/state_node.py
@@ -95,18 +95,18 @@
     def _open(self) -> Store:
         return FaultyStore(self.settings.file, self.faults)
 
-    async def up(self) -> Node:
+    async def start(self) -> Node:
         """Start the key store, wait until the keys of earlier incarnations are loaded, and return self."""
         self.state.start()
         await soon(lambda: self.state.disk.loaded)
         return self
 
-    def intend(self, number: int, time_left: float = KEY_TTL + DEADLINE) -> None:
+    def record_intent(self, number: int, time_left: float = KEY_TTL + DEADLINE) -> None:
         """Record the intent to run the key with this number; the number is also the request id."""
         durable_key = messages.DurableKey(key(number), "topup", "one", f"k{number}", time_left)
         self.state.record_intent(number, durable_key)
 
-    def left(self, number: int) -> float:
+    def remaining_validity(self, number: int) -> float:
         """Return how many seconds a key of an earlier incarnation remains valid; 0 if not recorded."""
         previous = self.state.find_previous(key(number), KEY_TTL)
         return previous.valid_for if previous and previous.is_recorded else 0.0
@@ -119,7 +119,7 @@
         self, number: int, result: bytes | None = b"done", time_left: float = KEY_TTL + DEADLINE
     ) -> None:
         """Record the intent and the outcome of a run and wait until both are durable."""
-        self.intend(number, time_left)
+        self.record_intent(number, time_left)
         await soon(lambda: messages.IntentRecorded(number, True) in self.messages)
         assert self.state.record_outcome(number, key(number), result)
         await soon(lambda: messages.OutcomeRecorded(number) in self.messages)
--- a/tests/frontends/proxy_nodes.py
+++ b/tests/frontends/proxy_nodes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from shelfhaven.lab.backend_stub import ExecutedRun
-from shelfhaven.lab.callers import SOON
+from shelfhaven.lab.callers import STEP_TIMEOUT_S
 from shelfhaven.lab.ports import reserved_address
 from shelfhaven.lab.proxy import ProxiedRequest, ProxyStub, Upstream, UpstreamResponse
 from tests.frontends.nodes import FrontendNode
@@ -58,7 +58,7 @@
 
 async def ask_until_forwarded(proxy: ProxyStub) -> None:
     """Ask until a request goes on: after a fault some may be rejected for a while."""
-    async with asyncio.timeout(SOON):
+    async with asyncio.timeout(STEP_TIMEOUT_S):
         while not (exchange := await proxy.ask("GET", "/balance/1")).forwarded:
             assert exchange.reply
             assert exchange.reply.status == 503
--- a/tests/frontends/test_extproc.py
+++ b/tests/frontends/test_extproc.py
@@ -241,7 +241,7 @@
     async def check() -> None:
         async with running_proxy_node() as node:
             proxy = node.proxy()
-            stream, first, _ = proxy.begin("GET", "/balance/1", b"body")
+            stream, first, _ = proxy.open_consultation("GET", "/balance/1", b"body")
             await proxy._exchange(stream, first)
             part = extproc_pb2.HttpBody(body=b"part", end_of_stream=False)
             trailers = extproc_pb2.HttpTrailers(trailers=header_map({"x-end": "1"}))
@@ -270,7 +270,7 @@
                 return UpstreamResponse(200, b"x" * 2000)
 
             proxy.upstream = some
-            stream, first, exchange = proxy.begin("POST", "/topup", b"five", **KEYED)
+            stream, first, exchange = proxy.open_consultation("POST", "/topup", b"five", **KEYED)
             response = await proxy._verdict(stream, first, exchange)
             assert response is not None
             ok = extproc_pb2.HttpHeaders(headers=header_map({":status": "200"}))
--- a/tests/frontends/test_extproc_faults.py
+++ b/tests/frontends/test_extproc_faults.py
@@ -24,7 +24,7 @@
 from shelfhaven.lab.node import run_node
 from shelfhaven.lab.ports import reserved_address
 from shelfhaven.lab.proxy import (
-    METHOD,
+    PROCESS_METHOD,
     ProxiedRequest,
     ProxyStub,
     UpstreamResponse,
@@ -56,7 +56,7 @@
     def begin(self, **more: str) -> int:
         stream: int = self.http.get_next_available_stream_id()
         headers = [
-            (":method", "POST"), (":path", METHOD), (":scheme", "http"), (":authority", "x"),
+            (":method", "POST"), (":path", PROCESS_METHOD), (":scheme", "http"), (":authority", "x"),
             ("content-type", "application/grpc"), ("te", "trailers"), *more.items(),
         ]  # fmt: skip
         self.http.send_headers(stream, headers)
--- a/tests/lab/simulation_digests.py
+++ b/tests/lab/simulation_digests.py
@@ -40,7 +40,7 @@
     simulation.run(90.0)
     service.up = True
     for address in list(simulation.members)[:RESTARTED_MEMBERS]:
-        simulation.begin(address)
+        simulation.start_node(address)
     simulation.run(180.0)
     polls = sorted(simulation.peer_polls.items())
     requests = sorted(service.requests_by_kind.items())
--- a/tests/membership/test_fleet.py
+++ b/tests/membership/test_fleet.py
@@ -81,7 +81,7 @@
 
                 async def record(node_counts: list[int] = node_counts, stop: asyncio.Event = stop) -> None:
                     while not stop.is_set():
-                        node_counts.append(min(node.knows() for node in fleet_world.nodes))
+                        node_counts.append(min(node.known_node_count() for node in fleet_world.nodes))
                         await asyncio.sleep(0.05)
 
                 recording = asyncio.ensure_future(record())
@@ -106,7 +106,7 @@
             fleet_world.store.mode = Mode.HANG
             await asyncio.sleep(1.0)
             assert all(
-                node.knows() >= 5 for node in fleet_world.nodes
+                node.known_node_count() >= 5 for node in fleet_world.nodes
             ), "the leases expired: one node may be removed, the others are kept"
             replies = await asyncio.gather(*(node.ask("GET", "/balance/1") for node in fleet_world.nodes))
             assert {reply.status for reply in replies} == {200}
@@ -149,9 +149,12 @@
             fleet_world.fleet.net.set("*", blackholed.name, Rule(hole=True))
             await fleet_world.fleet.start_all()
             others = [node for node in fleet_world.nodes if node is not blackholed]
-            await soon(lambda: all(node.knows() == 4 for node in others))
+            await soon(lambda: all(node.known_node_count() == 4 for node in others))
             await soon(blackholed.ready_after)
-            assert (blackholed.knows(), (await blackholed.ask("GET", "/balance/1")).status) == (0, 200)
+            assert (blackholed.known_node_count(), (await blackholed.ask("GET", "/balance/1")).status) == (
+                0,
+                200,
+            )
 
     play(check)
 
@@ -287,7 +290,7 @@
                 await soon(lambda: looping.events("phase"))
             await soon(looping.ready_after)
             assert fleet_world.store.requests_by_method["LeaseGrant"] - before <= 5
-            assert all(node.knows() >= 3 for node in others)
+            assert all(node.known_node_count() >= 3 for node in others)
             replies = await asyncio.gather(*(node.ask("GET", "/balance/1") for node in others))
             assert {reply.status for reply in replies} == {200}
 
--- a/tests/membership/test_simulation.py
+++ b/tests/membership/test_simulation.py
@@ -85,7 +85,7 @@
 def test_nodes_that_cannot_reach_the_list_service_get_the_list_from_peers() -> None:
     simulation = simulate(60)
     isolated = set(list(simulation.identities)[::2])
-    simulation.cut = lambda source, target: (source in isolated and target == "service") or (
+    simulation.is_cut = lambda source, target: (source in isolated and target == "service") or (
         source == "service" and target in isolated
     )
     simulation.run(60.0)
@@ -102,7 +102,7 @@
     simulation.request_service = lambda node, member, action: (nodes.append(node), send(node, member, action))  # type: ignore
     for start in range(60, 180, 3):
         simulation.at(float(start), lambda: simulation.kill(looping))
-        simulation.at(float(start) + 0.1, lambda: simulation.begin(looping))
+        simulation.at(float(start) + 0.1, lambda: simulation.start_node(looping))
     simulation.run(180.0)
     window = simulation.members["an00001"].quota.window(REGISTRATION_SHARE, 2.0)
     assert nodes.count(looping) <= 3 * 120 / window
@@ -112,8 +112,8 @@
 def test_nodes_that_are_suspended_during_the_start_are_listed_after_it() -> None:
     simulation = simulate(60)
     suspended = set(list(simulation.identities)[:20])
-    simulation.at(0.6, lambda: simulation.stopped.update(suspended))
-    simulation.at(15.0, simulation.stopped.clear)
+    simulation.at(0.6, lambda: simulation.suspended.update(suspended))
+    simulation.at(15.0, simulation.suspended.clear)
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
     assert simulation.service.peak_requests() <= RATE_TOLERANCE * MAX_REQUESTS_PER_S
@@ -133,7 +133,7 @@
 
 def test_peers_that_report_wrong_ages_do_not_prevent_convergence() -> None:
     simulation = simulate(30)
-    original = simulation.tell
+    original = simulation.deliver
 
     def tell_with_wrong_age(address: str, member: Member, event: Event) -> None:
         if isinstance(event, PeerAnswered) and event.peer in ("an00001", "an00002"):
@@ -143,6 +143,6 @@
             )
         original(address, member, event)
 
-    simulation.tell = tell_with_wrong_age  # type: ignore[method-assign]
+    simulation.deliver = tell_with_wrong_age  # type: ignore[method-assign]
     simulation.run(120.0, simulation.converged)
     assert simulation.converged()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -14,7 +14,7 @@
 import orjson
 
 from shelfhaven import config
-from shelfhaven.lab.callers import SOON, Router, until
+from shelfhaven.lab.callers import STEP_TIMEOUT_S, Router, until
 from shelfhaven.lab.platform import Agent, Ledger, Members
 from shelfhaven.lab.ports import reserved_port
 from shelfhaven.program.app import App
@@ -99,7 +99,7 @@
     """Run an asynchronous test in an event loop of its own, with a timeout."""
 
     async def run_with_timeout() -> None:
-        async with asyncio.timeout(3 * SOON):
+        async with asyncio.timeout(3 * STEP_TIMEOUT_S):
             await test()
 
     asyncio.run(run_with_timeout())
--- a/tests/server/test_interleavings.py
+++ b/tests/server/test_interleavings.py
@@ -153,7 +153,7 @@
         if self.runs:
             attempt_id = self.runs.pop(self.random.randrange(len(self.runs)))
             if self.random.random() < 0.8:
-                self.site.agent.passed(attempt_id)
+                self.site.agent.pass_run(attempt_id)
             else:
                 self.site.agent.notice(f"outcome # {attempt_id} FAIL 5", b"")
 
@@ -162,9 +162,9 @@
         for connection in self.connections:
             if connection.reset:
                 continue
-            answers = {id_: len(connection.router.of(id_)) for id_ in connection.expected}
+            answers = {id_: len(connection.router.messages_for(id_)) for id_ in connection.expected}
             assert answers == dict.fromkeys(connection.expected, 1)
-            assert all(len(connection.router.of(id_)) <= 1 for id_ in connection.cancelled)
+            assert all(len(connection.router.messages_for(id_)) <= 1 for id_ in connection.cancelled)
         keyed_runs = dict.fromkeys(
             attempt for attempt, *_ in self.site.agent.launched if attempt in self.keyed
         )
@@ -190,9 +190,9 @@
                     server.app.request_drain()
                 if server.app.phase in (Phase.SERVING, Phase.DRAINING):
                     await sequence.step()
-            server.agent.on_launch = server.agent.passed
+            server.agent.on_launch = server.agent.pass_run
             for attempt_id in sequence.runs:
-                server.agent.passed(attempt_id)
+                server.agent.pass_run(attempt_id)
             await until(server.app_task.done)
             assert server.app_task.exception() is None
             for connection in sequence.connections:
--- a/tests/server/test_peer_faults.py
+++ b/tests/server/test_peer_faults.py
@@ -32,7 +32,7 @@
             router = await server.router()
             attempt_id = router.request(1, "pay", dedupe="k")
             await until(lambda: server.agent.launched)
-            server.agent.passed(attempt_id)  # waits in the socket
+            server.agent.pass_run(attempt_id)  # waits in the socket
             time.sleep(1.1)  # stalls the event loop beyond the request's due time
             assert "result" in await router.answer(1)
 
@@ -55,8 +55,8 @@
             router.send({"jsonrpc": "2.0", "id": 2, "method": "poison"})
             other.request(3)
             await until(lambda: len(server.agent.launched) == 2)
-            server.agent.passed(attempt_id)
-            server.agent.passed(f"{3:016x}")
+            server.agent.pass_run(attempt_id)
+            server.agent.pass_run(f"{3:016x}")
             assert "result" in await router.answer(1)
             assert "result" in await other.answer(3)
             await until(lambda: router.ended)
@@ -138,7 +138,7 @@
             await until(server.app_task.done)
             assert server.app_task.exception() is None
             await until(lambda: stalled.ended)
-            assert [message.get("method") for message in stalled.got] == ["shutdown"]
+            assert [message.get("method") for message in stalled.received] == ["shutdown"]
 
     run_async(check)
 
--- a/tests/server/test_races.py
+++ b/tests/server/test_races.py
@@ -69,12 +69,12 @@
             connection = await only_connection(server)
             router.writer.write_eof()
             await until(lambda: connection.state is ConnectionState.PEER_HALF_CLOSED)
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
-            server.agent.passed(f"{2:016x}")
+            server.agent.pass_run(f"{2:016x}")
             assert "result" in await router.answer(2)
             await until(lambda: router.ended)
-            assert [len(router.of(ref)) for ref in (1, 2)] == [1, 1]
+            assert [len(router.messages_for(ref)) for ref in (1, 2)] == [1, 1]
             assert not server.app.listener.connections
 
     run_async(check)
@@ -103,7 +103,7 @@
             await router.close()
             await until(lambda: not server.app.core.requests.unanswered)
             assert not server.app.listener.connections
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             await until(lambda: not server.app.core.requests)
 
     run_async(check)
@@ -118,8 +118,8 @@
             router = await server.router()
             router.writer.write(health_check(1) + UNFRAMED)
             await until(lambda: router.ended)
-            assert sorted(message["id"] or 0 for message in router.got) == [0, 1]
-            assert "result" in router.of(1)[0]
+            assert sorted(message["id"] or 0 for message in router.received) == [0, 1]
+            assert "result" in router.messages_for(1)[0]
 
     run_async(check)
 
@@ -135,8 +135,8 @@
             router = await server.router()
             router.writer.write(health_check(1) + framed(malformed) + health_check(2))
             await until(lambda: router.ended)
-            assert sorted(message["id"] or 0 for message in router.got) == [0, 1, 2]
-            assert all("result" in router.of(ref)[0] for ref in (1, 2))
+            assert sorted(message["id"] or 0 for message in router.received) == [0, 1, 2]
+            assert all("result" in router.messages_for(ref)[0] for ref in (1, 2))
 
     run_async(check)
 
@@ -149,14 +149,14 @@
         async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.writer.write(UNFRAMED)
-            await until(lambda: router.got)  # the error reply; the server reads no further
+            await until(lambda: router.received)  # the error reply; the server reads no further
             router.writer.write(b"x" * 100_000)
             await router.writer.drain()
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             await asyncio.wait_for(router.task, 5)
             assert router.ended
             assert router.reader.exception() is None  # the stream ended without a reset
-            assert "result" in router.of(1)[0]
+            assert "result" in router.messages_for(1)[0]
 
     run_async(check)
 
@@ -333,7 +333,7 @@
             await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
             assert not server.agent.launched
-            assert not router.of(2)
+            assert not router.messages_for(2)
 
     run_async(check)
 
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -18,7 +18,7 @@
     new = peers.Agent()
     new.notices, new.started_at = original.notices, original.started_at
     already_launched = [id_ for id_, *_ in original.launched]
-    new.on_launch = lambda id_: None if id_ in already_launched else new.passed(id_)
+    new.on_launch = lambda id_: None if id_ in already_launched else new.pass_run(id_)
     await new.start()
     return new
 
@@ -36,7 +36,7 @@
             await until(lambda: new.subscribed)
             assert new.subscribed == [1]
             await until(lambda: server.app.peers.agent.up and server.app.peers.agent.completed_replays == 2)
-            new.passed(attempt_id)
+            new.pass_run(attempt_id)
             assert "result" in await router.answer(1)
             router.request(2)
             assert "result" in await router.answer(2)
@@ -155,9 +155,9 @@
             server.app.reload()
             await until(lambda: agents[2].subscribed)
             await until(lambda: server.app.peers.agent.up and not server.app.peers.agent.replay_tag)
-            agents[2].passed(attempt_id)
+            agents[2].pass_run(attempt_id)
             assert "result" in await router.answer(1)
-            assert len(router.of(1)) == 1
+            assert len(router.messages_for(1)) == 1
             await until(server.app_task.done)
             for new in agents:
                 new.stop()
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -95,10 +95,10 @@
             other.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             assert (await other.answer(2))["result"]["green"] is True
             assert not router.ended
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             await until(lambda: router.ended)
-            assert [message["id"] for message in router.got] == [None, 1]  # the error is sent at once
-            assert router.got[0]["error"]["code"] == jsonrpc.PARSE_ERROR
+            assert [message["id"] for message in router.received] == [None, 1]  # the error is sent at once
+            assert router.received[0]["error"]["code"] == jsonrpc.PARSE_ERROR
             assert not other.ended
 
     run_async(check)
@@ -136,7 +136,7 @@
                 router.request(number)
             assert (await router.answer(33))["error"]["code"] == jsonrpc.INVALID_REQUEST
             for number in range(1, 33):
-                server.agent.passed(f"{number:016x}")
+                server.agent.pass_run(f"{number:016x}")
             for number in range(1, 33):
                 assert "result" in await router.answer(number)
 
@@ -148,10 +148,10 @@
         async with running_server() as server:
             router, attempt_id = await server.running_request()
             await router.close()
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             await until(lambda: not server.app.core.requests)
             again = await server.router()
-            server.agent.on_launch = server.agent.passed
+            server.agent.on_launch = server.agent.pass_run
             again.request(2)
             assert "result" in await again.answer(2)
 
@@ -165,9 +165,9 @@
             router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 1}})
             router.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             await router.answer(2)
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             await until(lambda: not server.app.core.requests)
-            assert [answer["error"]["code"] for answer in router.of(1)] == [jsonrpc.CANCELLED]
+            assert [answer["error"]["code"] for answer in router.messages_for(1)] == [jsonrpc.CANCELLED]
 
     run_async(check)
 
@@ -190,7 +190,7 @@
             await until(lambda: len(server.agent.launched) == 3)
             # only a run without a notice is uncertain; it is launched again, which the agent ignores
             assert [attempt_id for attempt_id, _, _ in server.agent.launched] == [first, second, second]
-            server.agent.passed(second)
+            server.agent.pass_run(second)
             assert "result" in await router.answer(2)
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 3)
@@ -239,7 +239,7 @@
     async def check() -> None:
         async with running_server() as server:
             router, attempt_id = await server.running_request()
-            server.agent.passed, pass_run = lambda _: None, server.agent.passed  # type: ignore
+            server.agent.pass_run, pass_run = lambda _: None, server.agent.pass_run  # type: ignore
             server.agent.notice(f"request # {attempt_id}", b"ask")
             await until(lambda: server.agent.delivered)
             command = server.agent.handle_command
@@ -252,7 +252,7 @@
             await until(
                 lambda: server.app.peers.agent.completed_replays == 2 and not server.app.peers.agent.pending
             )
-            assert not router.got
+            assert not router.received
             pass_run(attempt_id)
             assert "result" in await router.answer(1)
 
@@ -276,8 +276,8 @@
             monkeypatch.setattr(server.app.peers.agent, "_handle_greeting", greet_late)
             server.agent.cut()
             await until(lambda: server.app.peers.agent.completed_replays == 2)
-            assert not router.got
-            server.agent.passed(attempt_id)
+            assert not router.received
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
 
     run_async(check)
@@ -303,8 +303,8 @@
         async with running_server() as server:
             request_call_on_launch(server)
             router = await server.router()
-            pass_run = server.agent.passed
-            server.agent.passed = server.agent.keep_running  # type: ignore
+            pass_run = server.agent.pass_run
+            server.agent.pass_run = server.agent.keep_running  # type: ignore
             attempt_id = router.request(1)
             await until(lambda: server.agent.delivered)
             server.agent.send(b"".join(server.agent.notices))  # the run no longer waits for that call
@@ -326,7 +326,7 @@
             assert "error" in await router.answer(1)
             server.agent.send(b"outcome 2 x PASS 1 -5\r\n")
             await until(lambda: len(server.agent.subscribed) == 2)
-            server.agent.on_launch = server.agent.passed
+            server.agent.on_launch = server.agent.pass_run
             router.request(2)
             assert "result" in await router.answer(2)
 
@@ -346,7 +346,7 @@
             server.app.peers.agent.first_greeted_at -= 60
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 3 and server.app.peers.agent.up)
-            server.agent.on_launch = server.agent.passed
+            server.agent.on_launch = server.agent.pass_run
             router.request(2)
             assert "result" in await router.answer(2)
 
@@ -483,15 +483,17 @@
             late = await server.router()  # a router that does not know of the shutdown yet
             late.request(3, call="c" * 16)
             await until(late.received_shutdown)
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
-            server.agent.passed(f"{2:016x}")
+            server.agent.pass_run(f"{2:016x}")
             assert "result" in await router.answer(2)
             assert "error" in await late.answer(3)
             await until(server.app_task.done)
             assert server.app.phase is Phase.ENDED
             assert server.app_task.exception() is None
-            assert [len(each.of(number)) for each, number in ((router, 1), (router, 2), (late, 3))] == [
+            assert [
+                len(each.messages_for(number)) for each, number in ((router, 1), (router, 2), (late, 3))
+            ] == [
                 1,
                 1,
                 1,
@@ -558,7 +560,7 @@
             await until(lambda: server.agent.launched)
             server.agent.cut()
             await until(lambda: len(server.agent.subscribed) == 2)
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
 
     run_async(check)
@@ -657,7 +659,7 @@
             monkeypatch.undo()
             server.agent.silent = False
             server.agent.cut()  # for a discarded greeting there is no timeout, and the server may wait long
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
             assert [id_ for id_, *_ in server.agent.launched].count(attempt_id) <= len(
                 server.agent.subscribed
--- a/tests/server/test_signals.py
+++ b/tests/server/test_signals.py
@@ -77,10 +77,10 @@
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGTERM)
             await until(lambda: b"HB n3 OUT" in new_members.reports())
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
             await until(server.app_task.done)
             assert server.app_task.exception() is None
-            assert jsonrpc.FAILED not in [message.get("error", {}).get("code") for message in router.got]
+            assert jsonrpc.FAILED not in [message.get("error", {}).get("code") for message in router.received]
 
     run_async(check)
--- a/tests/server/test_unknown_clients.py
+++ b/tests/server/test_unknown_clients.py
@@ -40,10 +40,10 @@
         async with running_server() as server:
             router, attempt_id = await server.running_request()
             router.writer.write(b"Content-Length: 500\r\n\r\n{")
-            await until(lambda: router.got)
-            assert router.got[0]["id"] is None
+            await until(lambda: router.received)
+            assert router.received[0]["id"] is None
             assert not router.ended
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
             await until(lambda: router.ended)
 
@@ -70,7 +70,7 @@
                 idle_router.ended for idle_router in idle_routers[:10]
             )  # those that never sent a request are closed first
             assert any(idle_router.ended for idle_router in idle_routers[10:])
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await busy.answer(1)
 
     run_async(check)
@@ -90,7 +90,7 @@
             waiting.send({"jsonrpc": "2.0", "id": 2, "method": "alive"})
             await until(lambda: not server.app.listener.accepting)
             for attempt_id in attempt_ids:
-                server.agent.passed(attempt_id)
+                server.agent.pass_run(attempt_id)
             for busy_router in busy_routers:
                 assert "result" in await busy_router.answer(1)
             assert "result" in await waiting.answer(2)
@@ -107,9 +107,9 @@
                 router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": number}})
             router.send({"jsonrpc": "2.0", "method": "cancelRequest", "params": {"id": 999}})
             assert (await router.answer(299))["error"]["code"] == jsonrpc.CANCELLED
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
-            assert sorted(message["id"] for message in router.got) == list(range(1, 300))
+            assert sorted(message["id"] for message in router.received) == list(range(1, 300))
             await until(lambda: len(server.app.core.requests.unanswered) == 0)
 
     run_async(check)
@@ -136,9 +136,9 @@
             stranger = await server.router()
             stranger.request(1, call=attempt_id)
             assert "error" in await stranger.answer(1)
-            server.agent.passed(attempt_id)
+            server.agent.pass_run(attempt_id)
             assert "result" in await router.answer(1)
-            assert len(stranger.of(1)) == 1
+            assert len(stranger.messages_for(1)) == 1
 
     run_async(check)
 
--- a/tests/state/test_actor.py
+++ b/tests/state/test_actor.py
@@ -14,10 +14,10 @@
 async def test_shutdown_does_not_wait_for_a_hanging_disk_and_stored_keys_keep_their_expiry(
     tmp_path: Path,
 ) -> None:
-    node = await Node(tmp_path).up()
+    node = await Node(tmp_path).start()
     await node.run(1)
     node.faults.gate.clear()
-    node.intend(2)
+    node.record_intent(2)
     started_at = asyncio.get_running_loop().time()
     await node.state.end()
     assert asyncio.get_running_loop().time() - started_at < 0.5
@@ -26,6 +26,6 @@
     assert node.state.store
     node.state.store.close()  # the operating system does this when a process ends
     # the new incarnation has a TTL of 1 s instead of 8 s
-    restarted = await Node(tmp_path, class_summary="topup 1 3", uncertain_period=4.0).up()
-    assert restarted.left(1) > 9.0, "a stored key keeps its expiry time when the TTL is reduced"
+    restarted = await Node(tmp_path, class_summary="topup 1 3", uncertain_period=4.0).start()
+    assert restarted.remaining_validity(1) > 9.0, "a stored key keeps its expiry time when the TTL is reduced"
     await restarted.state.end()
--- a/tests/state/test_administration.py
+++ b/tests/state/test_administration.py
@@ -23,10 +23,10 @@
 async def test_commands_read_beside_a_running_node_and_modify_only_a_closed_file(
     tmp_path: Path,
 ) -> None:
-    node = await Node(tmp_path, disk=PATIENT_DISK, uncertain_period=LONG_TTL).up()
+    node = await Node(tmp_path, disk=PATIENT_DISK, uncertain_period=LONG_TTL).start()
     for number in range(1, 30):
         await node.run(number, time_left=LONG_TTL)
-    node.intend(77, LONG_TTL)
+    node.record_intent(77, LONG_TTL)
     await soon(lambda: messages.IntentRecorded(77, True) in node.messages)
     node_settings = node.settings
     lines, code = await asyncio.to_thread(administration.run, lambda: administration.check(node_settings))
@@ -45,9 +45,9 @@
     lines, code = administration.run(lambda: administration.restore(node_settings, snapshot))
     assert code == ExitCode.OK, lines
     assert lines[0].startswith(f"{node_settings.file}: 30 keys")
-    restarted = await Node(tmp_path, disk=PATIENT_DISK, uncertain_period=LONG_TTL).up()
-    assert restarted.left(5) > 0
-    assert restarted.left(99) == 0.0
+    restarted = await Node(tmp_path, disk=PATIENT_DISK, uncertain_period=LONG_TTL).start()
+    assert restarted.remaining_validity(5) > 0
+    assert restarted.remaining_validity(99) == 0.0
     assert (
         restarted.uncertain_for() > LONG_TTL - MAX_START_TIME
     ), "keys that ran after the snapshot are missing from it"
--- a/tests/state/test_admission.py
+++ b/tests/state/test_admission.py
@@ -32,9 +32,9 @@
 async def test_a_run_begins_after_its_intent_is_on_disk_and_its_outcome_survives_a_restart(
     tmp_path: Path,
 ) -> None:
-    node = await Node(tmp_path, disk=PATIENT_DISK).up()
+    node = await Node(tmp_path, disk=PATIENT_DISK).start()
     node.faults.gate.clear()
-    node.intend(1)
+    node.record_intent(1)
     await asyncio.sleep(0.03)
     assert node.messages == [], "no reply before the intent is on disk"
     node.faults.gate.set()
@@ -42,16 +42,22 @@
     assert node.messages == [messages.IntentRecorded(1, True)]
     await node.run(2)
     await node.run(3, None)
-    node.intend(4)
+    node.record_intent(4)
     await soon(lambda: messages.IntentRecorded(4, True) in node.messages)
     node.state.discard_intent(key(4))
     await node.state.end()
     uncertain: list[KeyLabel] = []
-    restarted = await Node(tmp_path, hooks=IncarnationHooks(reconcile=uncertain.append)).up()
+    restarted = await Node(tmp_path, hooks=IncarnationHooks(reconcile=uncertain.append)).start()
     await soon(lambda: uncertain)
     expected = [KeyLabel("topup", "one", "k1"), KeyLabel("topup", "one", "k3")]
     assert uncertain == expected, "keys without a result are passed to `reconcile`"
-    assert [restarted.left(number) > 0 for number in (1, 2, 3, 4, 5)] == [True, True, True, False, False]
+    assert [restarted.remaining_validity(number) > 0 for number in (1, 2, 3, 4, 5)] == [
+        True,
+        True,
+        True,
+        False,
+        False,
+    ]
     assert restarted.uncertain_for() == 0.0
     for number in (1, 2, 3):
         restarted.state.fetch_result(number, key(number))
@@ -66,13 +72,13 @@
 
 @played
 async def test_requests_wait_for_a_stalled_disk_no_longer_than_max_wait(tmp_path: Path) -> None:
-    node = await Node(tmp_path).up()
-    node.intend(1)
+    node = await Node(tmp_path).start()
+    node.record_intent(1)
     await soon(lambda: node.messages)
     node.faults.gate.clear()
     loop = asyncio.get_running_loop()
     started_at = loop.time()
-    node.intend(2)
+    node.record_intent(2)
     assert node.state.record_outcome(1, key(1), b"done")
     await soon(lambda: len(node.messages) == 3)
     assert 0.08 < loop.time() - started_at < 0.5
@@ -83,7 +89,7 @@
     assert (
         messages.OutcomeRecorded(1) in node.messages
     ), "a run that is over is answered although its outcome is not on disk"
-    node.intend(3)
+    node.record_intent(3)
     last = node.messages[-1]
     assert isinstance(last, messages.IntentRecorded)
     assert last == messages.IntentRecorded(3, False, last.retry_after), "rejected at once during the stall"
@@ -92,8 +98,8 @@
     await soon(lambda: node.state.writes.is_idle)
     await node.run(4)
     await node.state.end()
-    restarted = await Node(tmp_path).up()
-    assert [restarted.left(number) > 0 for number in (1, 2, 3, 4)] == [True, False, False, True]
+    restarted = await Node(tmp_path).start()
+    assert [restarted.remaining_validity(number) > 0 for number in (1, 2, 3, 4)] == [True, False, False, True]
     await restarted.state.end()
 
 
@@ -103,18 +109,18 @@
 async def test_intents_are_rejected_or_kept_in_memory_while_the_disk_fails(
     tmp_path: Path, error: Exception, degraded_mode: DegradedMode
 ) -> None:
-    node = await Node(tmp_path, disk=replace(PATIENT_DISK, degraded_mode=degraded_mode)).up()
-    node.intend(1)
+    node = await Node(tmp_path, disk=replace(PATIENT_DISK, degraded_mode=degraded_mode)).start()
+    node.record_intent(1)
     await soon(lambda: node.messages)
     node.faults.error = error
-    node.intend(2)
+    node.record_intent(2)
     await soon(lambda: len(node.messages) == 2)
     rejected = node.messages[1]
     assert isinstance(rejected, messages.IntentRecorded)
     assert not rejected.recorded, "the commit of its intent failed"
     assert node.state.record_outcome(1, key(1), b"done")
     await soon(lambda: messages.OutcomeRecorded(1) in node.messages)
-    node.intend(3)
+    node.record_intent(3)
     last = node.messages[-1]
     assert isinstance(last, messages.IntentRecorded)
     assert (last.request_id, last.recorded) == (3, degraded_mode is DegradedMode.RUN_WITHOUT_DISK)
@@ -124,8 +130,8 @@
     await soon(lambda: not node.state.writes.queue)
     await node.run(4)
     await node.state.end()
-    restarted = await Node(tmp_path).up()
-    assert [restarted.left(number) > 0 for number in (1, 2, 3, 4)] == [True, False, False, True]
+    restarted = await Node(tmp_path).start()
+    assert [restarted.remaining_validity(number) > 0 for number in (1, 2, 3, 4)] == [True, False, False, True]
     restarted.state.fetch_result(1, key(1))
     await soon(lambda: restarted.messages)
     assert restarted.messages == [
--- a/tests/state/test_crash.py
+++ b/tests/state/test_crash.py
@@ -12,9 +12,9 @@
     abandon,
     expected_states,
     open_store,
-    play_sequence,
     put,
     read_independently,
+    run_sequence,
     search,
 )
 from shelfhaven.lab.state_node import key
@@ -23,9 +23,9 @@
 
 def test_power_loss_at_any_call_loses_no_acknowledged_commit() -> None:
     result = search(7)
-    print(f"{result.points} disk images checked after power loss at {result.calls} calls")
-    assert not result.breaches
-    assert result.points > 300
+    print(f"{result.images} disk images checked after power loss at {result.calls} calls")
+    assert not result.violations
+    assert result.images > 300
 
 
 def test_a_second_power_loss_during_recovery_loses_no_acknowledged_commit() -> None:
@@ -34,7 +34,7 @@
     for first_loss_at in range(90, 120, 3):
         disk = CrashDisk()
         disk.power_loss_at = first_loss_at
-        acknowledged = play_sequence()
+        acknowledged = run_sequence()
         image = random.choice(disk.images_after_power_loss(random))
         disk.close()
         for second_loss_at in range(1, 12):
--- a/tests/state/test_group_commit.py
+++ b/tests/state/test_group_commit.py
@@ -18,10 +18,10 @@
 
 @played
 async def test_all_queued_writes_go_into_one_commit(tmp_path: Path) -> None:
-    node = await Node(tmp_path, disk=DiskSettings(max_wait=2.0)).up()
+    node = await Node(tmp_path, disk=DiskSettings(max_wait=2.0)).start()
     node.faults.gate.clear()
     for number in range(1, 102):
-        node.intend(number)
+        node.record_intent(number)
     await asyncio.sleep(0.02)
     node.faults.gate.set()
     await soon(lambda: len(node.messages) == 101)
@@ -31,13 +31,13 @@
 
 @played
 async def test_the_writes_of_a_key_keep_their_order_when_a_commit_fails(tmp_path: Path) -> None:
-    node = await Node(tmp_path, disk=DiskSettings(max_wait=5.0)).up()
-    node.intend(1)
+    node = await Node(tmp_path, disk=DiskSettings(max_wait=5.0)).start()
+    node.record_intent(1)
     await soon(lambda: node.messages)
     node.faults.gate.clear()
     node.state.discard_intent(key(1))  # its commit is held up, then fails
     await soon(lambda: node.state.writes.is_committing)
-    node.intend(1)  # the next attempt with the same key, queued behind the deletion
+    node.record_intent(1)  # the next attempt with the same key, queued behind the deletion
     node.faults.error = apsw.IOError("i/o")
     node.faults.gate.set()
     await soon(lambda: node.state.disk.fault is DiskFault.FAILING)
@@ -45,8 +45,8 @@
     await soon(lambda: node.state.writes.is_idle, 10.0)
     assert node.messages == [messages.IntentRecorded(1, True)] * 2
     await node.state.end()
-    restarted = await Node(tmp_path).up()
-    assert restarted.left(1) > 0, "the retried deletion must not delete the later intent"
+    restarted = await Node(tmp_path).start()
+    assert restarted.remaining_validity(1) > 0, "the retried deletion must not delete the later intent"
     await restarted.state.end()
 
 
@@ -55,13 +55,13 @@
 async def test_without_a_sync_of_each_write_requests_do_not_wait_for_the_commit(
     tmp_path: Path, sync: SyncMode
 ) -> None:
-    node = await Node(tmp_path, sync=sync).up()
+    node = await Node(tmp_path, sync=sync).start()
     node.faults.gate.clear()
-    node.intend(1)
+    node.record_intent(1)
     assert node.messages == [messages.IntentRecorded(1, True)]
     node.faults.gate.set()
     await soon(lambda: node.state.writes.is_idle)
     await node.state.end()
-    restarted = await Node(tmp_path).up()
-    assert restarted.left(1) > 0
+    restarted = await Node(tmp_path).start()
+    assert restarted.remaining_validity(1) > 0
     await restarted.state.end()
