--- a/shelfhaven/lab/election_checker.py
+++ b/shelfhaven/lab/election_checker.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from shelfhaven.lab.fleet_checker import LogLine, faults
+from shelfhaven.lab.fleet_checker import LogLine, find_internal_errors
 
 LEADING_STATES = ("holding", "handing on")  # values of `state` in the event `duty`
 
@@ -187,5 +187,5 @@
 
     `tolerance` is the time in seconds for which two nodes may both believe that they lead a task.
     """
-    found = faults(history) + find_effect_breaches(actions, idempotent)
+    found = find_internal_errors(history) + find_effect_breaches(actions, idempotent)
     return found + find_overlaps(find_leaderships(history), tolerance) + find_reused_tokens(history)
