--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the program against itself, its earlier versions and plain baselines; none runs in CI."""
+"""Benchmarks against earlier versions and simple baselines; they do not run in CI."""
--- a/benchmarks/backend_faults.py
+++ b/benchmarks/backend_faults.py
@@ -1,4 +1,4 @@
-"""What the pool gains over round robin while one of a node's backends fails; a part of `benchmarks.uwsgi`."""
+"""Compares the pool with round robin while one backend is faulty; part of `benchmarks.uwsgi`."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 RATE = 150.0  # requests a second
 MEAN_RUN_S = 0.05
-FAULT_AT = 0.2  # fraction of the time at which the fault begins
-SLOWDOWN = 10.0  # of a slow backend
-DETECTION_S = 2.0  # seconds after a fault in which requests may fail
+FAULT_AT_FRACTION = 0.2  # fraction of the measurement that precedes the fault
+SLOWDOWN = 10.0  # factor on the run duration of a slow backend
+DETECTION_WINDOW_S = 2.0  # after a fault; requests that fail within it are not counted
 LATENCY_OBJECTIVE_S = 0.5
-MIN_SHARE = 1e-3  # in a denominator
+MIN_BASELINE_SHARE = 1e-3  # lower bound of the divisor, against division by zero
 
 
 class BackendFault(Enum):
-    """What happens to one of the backends."""
+    """The kind of fault that one backend has."""
 
     SLOW = "slow"
     DEAD = "dead"
@@ -36,20 +36,20 @@
 
 @dataclass
 class FaultCounts:
-    """What became of the requests that were sent after a fault."""
+    """Outcomes of the requests that were sent after the fault."""
 
     sent: int = 0
     in_time: int = 0
     failed_after_detection: int = 0
 
     @property
-    def share(self) -> float:
-        """The fraction that was served in time."""
+    def in_time_share(self) -> float:
+        """The fraction of requests that were served within the latency objective."""
         return self.in_time / self.sent
 
 
 def begin_fault(fault: BackendFault, backend: BackendStub) -> None:
-    """Begin a fault of a backend, once."""
+    """Cause a fault at a backend; repeated calls have no further effect."""
     if fault is BackendFault.SLOW:
         backend.slowdown = SLOWDOWN
     elif backend.server:
@@ -57,21 +57,21 @@
 
 
 async def send_counted(gateways: Address, counts: FaultCounts, arrival: Arrival, fault_at: float) -> None:
-    """Send one request after a fault, and count what became of it."""
+    """Send one request after the fault and count its outcome."""
     counts.sent += 1
     number = counts.sent
     reply = await ask(gateways, "POST", "/topup", b"%d" % number, HTTP_IDEMPOTENCY_KEY=str(number))
     counts.in_time += reply.status == 200 and time.monotonic() - arrival.intended_at < LATENCY_OBJECTIVE_S
-    is_detected = arrival.elapsed - fault_at > DETECTION_S
+    is_detected = arrival.elapsed - fault_at > DETECTION_WINDOW_S
     counts.failed_after_detection += is_detected and reply.status in (502, 504)
 
 
-async def requests_around_fault(seconds: float, fault: BackendFault, command: Sequence[str]) -> FaultCounts:
-    """Requests at a node, run by this command, while one of its backends fails."""
+async def measure_fault(seconds: float, fault: BackendFault, command: Sequence[str]) -> FaultCounts:
+    """Send requests to a node started by `command`, and make one of its backends fail meanwhile."""
     gateways = reserved_address()
     routers = reserved_address()
     counts = FaultCounts()
-    fault_at = FAULT_AT * seconds
+    fault_at = FAULT_AT_FRACTION * seconds
     async with (
         started(new_backends(BACKENDS, MEAN_RUN_S, seed=7)) as backends,
         run_node(operator_file(backends, gateways, routers), routers, command) as node,
@@ -89,35 +89,35 @@
     return counts
 
 
-async def gain_with_fault(seconds: float, fault: BackendFault) -> Figures:
-    """Share served in time with one of four backends failing, against round robin in the same run."""
+async def fault_gain_figures(seconds: float, fault: BackendFault) -> Figures:
+    """Compare the pool with round robin, side by side, with one of four backends faulty."""
     round_robin = [sys.executable, "-m", "benchmarks.uwsgi", "--round-robin"]
     pool, baseline = await asyncio.gather(
-        requests_around_fault(seconds, fault, []),
-        requests_around_fault(seconds, fault, round_robin),
+        measure_fault(seconds, fault, []),
+        measure_fault(seconds, fault, round_robin),
     )
     return {
-        f"{fault.value}_gain": round(pool.share / max(baseline.share, MIN_SHARE), 2),
-        f"{fault.value}_share": round(pool.share, 3),
-        f"{fault.value}_share_round_robin": round(baseline.share, 3),
+        f"{fault.value}_gain": round(pool.in_time_share / max(baseline.in_time_share, MIN_BASELINE_SHARE), 2),
+        f"{fault.value}_share": round(pool.in_time_share, 3),
+        f"{fault.value}_share_round_robin": round(baseline.in_time_share, 3),
         f"failed_after_detection_{fault.value}": pool.failed_after_detection,
     }
 
 
 def serve_round_robin(path: str) -> None:
-    """Run a node whose pool takes its backends in turn and never ejects one: the baseline."""
-    from shelfhaven.__main__ import main as program
+    """Run the baseline: a node whose pool picks its backends in turn and never ejects one."""
+    from shelfhaven.__main__ import main as run_program
     from shelfhaven.routing.backend import Backend
     from shelfhaven.routing.outlier_detection import OutlierDetector
     from shelfhaven.routing.pool import Pool
 
-    numbers = iter(range(sys.maxsize))
+    pick_numbers = iter(range(sys.maxsize))
 
     def pick(self: Pool, *_: object, **__: object) -> Backend | None:
-        """Take the next backend."""
+        """Return the next backend in turn."""
         backends = list(self.backends.values())
-        return backends[next(numbers) % len(backends)]
+        return backends[next(pick_numbers) % len(backends)]
 
     Pool.pick = pick  # type: ignore[method-assign]
     OutlierDetector.eject = lambda *_: None  # type: ignore[method-assign]
-    program(["serve", "--operator", path])
+    run_program(["serve", "--operator", path])
--- a/benchmarks/coldstart.py
+++ b/benchmarks/coldstart.py
@@ -1,9 +1,10 @@
-"""Load of a cold start on the list service and on backends: `python -m benchmarks.coldstart [--quick]`.
+"""Measures the load of a cold start on the list service and on backends.
 
-Simulated in virtual time (the real `Member` of each node, simulated links and list service) for 10 to 10,000
-nodes, and measured with fleets of real `serve` processes on loopback. The baselines are nodes that poll the
-list service at once with doubled delays, and pools without slow start. The last line is JSON with every
-figure.
+Run with `python -m benchmarks.coldstart [--quick]`. Fleets of 10 to 10,000 nodes are simulated in virtual
+time (the real `Member` of each node with simulated links and a simulated list service); smaller fleets of
+real `serve` processes are measured on loopback. The baselines are nodes that poll the list service
+immediately and back off exponentially, and pools without slow start. The last line of output is JSON with
+every figure.
 """
 
 from __future__ import annotations
@@ -40,24 +41,24 @@
 
 BACKENDS = 6
 BACKEND_WORKERS = 4096
-SATURATION = 8  # concurrent requests beyond which each takes longer
+SATURATION = 8  # concurrent requests of one backend beyond which its runs slow down
 MEAN_RUN_S = 0.2
 CAPACITY = BACKENDS * SATURATION / MEAN_RUN_S  # requests a second
-PATIENCE_S = 1.5  # of a caller
-IN_TIME_S = 0.5  # of an answer that counts as in time
-LEARNING_REQUESTS_PER_S = 10  # at a new node
-LEARNING_RATE = 40.0  # requests a second from which its peer learns
-LEARNING_S = 2.5
+CALLER_TIMEOUT_S = 1.5
+LATENCY_OBJECTIVE_S = 0.5
+NEW_NODE_REQUESTS_PER_S = 10  # sent to a new node
+DONOR_REQUESTS_PER_S = 40.0  # sent to the peer from which a new node gets its estimates
+DONOR_LOAD_S = 2.5
 LEARNING_RUN_S = 0.05
 SLOW_BACKENDS = 3
-SLOWDOWN = 20.0  # of a slow backend
+SLOWDOWN = 20.0  # factor on the run duration of a slow backend
 POLL_INTERVAL_S = 0.02
-NODE_TIMEOUT_S = 10.0  # within which one node is ready
-READY_TIMEOUT_S = 30.0  # within which all nodes are ready
+NODE_TIMEOUT_S = 10.0  # until one node is ready
+READY_TIMEOUT_S = 30.0  # until all nodes are ready
 PROCESS_MARGIN_S = 30.0
-PROCESS_DEADLINE_FACTOR = 4  # times that registrations of processes may take at the stated rate
-SAME_SIZE_DEADLINE_S = 200.0  # of the simulation beside the processes
-MORE = """asks {asks}
+PROCESS_DEADLINE_FACTOR = 4  # allowed multiple of the ideal registration time
+SAME_SIZE_DEADLINE_S = 200.0  # of the simulation with as many nodes as there are processes
+LIST_SERVICE_SETTINGS = """asks {asks}
     expected {count}
     every "1s"
     lease "10s"
@@ -71,7 +72,7 @@
 
 
 async def becomes_true(condition: Callable[[], object], timeout: float) -> bool:
-    """Whether a condition becomes true in time."""
+    """Return whether a condition becomes true before the timeout."""
     try:
         await wait_until(condition, timeout, POLL_INTERVAL_S)
     except TimeoutError:
@@ -80,7 +81,7 @@
 
 
 def new_backends(count: int, saturation: int, mean_run_s: float) -> list[BackendStub]:
-    """Backends with a saturation of their own each, and one log of runs."""
+    """Create backends that saturate independently and share one log of runs."""
     log: list[ExecutedRun] = []
     return [
         BackendStub(f"v{number}", log, BACKEND_WORKERS, mean_run_s, seed=number, saturation=saturation)
@@ -88,8 +89,8 @@
     ]
 
 
-class World(NamedTuple):
-    """A fleet, its list service, and its backends."""
+class Testbed(NamedTuple):
+    """A fleet with its list service and its backends."""
 
     fleet: Fleet
     store: EtcdStub
@@ -97,16 +98,16 @@
 
 
 @contextlib.asynccontextmanager
-async def world(count: int, pool: str) -> AsyncIterator[World]:
-    """A fleet that is not started, a list service at its rate, and backends that saturate."""
+async def run_testbed(count: int, pool: str) -> AsyncIterator[Testbed]:
+    """Create a fleet that is not started, a rate-limited list service and backends that saturate."""
     store = EtcdStub(rate=MAX_REQUESTS_PER_S)
-    more = MORE.format(asks=MAX_REQUESTS_PER_S, count=count, within="10s")
+    list_service_settings = LIST_SERVICE_SETTINGS.format(asks=MAX_REQUESTS_PER_S, count=count, within="10s")
     async with started(new_backends(BACKENDS, SATURATION, MEAN_RUN_S)) as backends:
         await store.start()
         addresses = [backend.address for backend in backends]
         try:
-            async with fleet(count, store.port, addresses, pool=pool, more=more) as made:
-                yield World(made, store, backends)
+            async with fleet(count, store.port, addresses, pool=pool, more=list_service_settings) as nodes:
+                yield Testbed(nodes, store, backends)
         finally:
             await store.stop()
 
@@ -115,46 +116,46 @@
     return sum(b"/nodes/" in key for key in store.kvs)
 
 
-async def processes(count: int) -> Figures:
-    """Figures of a start of real processes, and of one with the list service down."""
-    async with world(count, "") as made:
-        figures = await process_start_figures(made, count)
-        served = await served_without_list_service(made)
+async def process_figures(count: int) -> Figures:
+    """Measure a start of real processes, and a restart while the list service is down."""
+    async with run_testbed(count, "") as testbed:
+        figures = await process_start_figures(testbed, count)
+        served = await served_without_list_service(testbed)
         figures["service_down_served"] = round(served / count, 3)
     same_size = start_figures(count, Member, SAME_SIZE_DEADLINE_S)
     figures["emulated_same_size"] = {"peak": same_size["peak"], "listed_last_s": same_size["last_s"]}
     return figures
 
 
-async def process_start_figures(made: World, count: int) -> Figures:
-    """Figures of the first start of all processes."""
-    nodes = made.fleet
-    began = time.monotonic()
+async def process_start_figures(testbed: Testbed, count: int) -> Figures:
+    """Measure the first start of all processes."""
+    nodes = testbed.fleet
+    started_at = time.monotonic()
     await nodes.start_all()
-    started_after = time.monotonic() - began
+    started_after = time.monotonic() - started_at
     deadline = PROCESS_MARGIN_S + PROCESS_DEADLINE_FACTOR * registration_time(count)
-    listed = await becomes_true(lambda: _listed_nodes(made.store) == count, deadline)
-    listed_after = time.monotonic() - began
+    listed = await becomes_true(lambda: _listed_nodes(testbed.store) == count, deadline)
+    listed_after = time.monotonic() - started_at
     ready = sorted(at for node in nodes.running() if (at := node.ready_after()) is not None)
     known = await becomes_true(lambda: nodes.all_know(count), READY_TIMEOUT_S)
-    known_after = time.monotonic() - began
+    known_after = time.monotonic() - started_at
     return {
         "processes": count,
         "processes_started_s": round(started_after, 1),
-        "asks_per_s_peak": made.store.peak_request_rate(),
-        "asks": dict(made.store.requests_by_method),
-        "bytes_out": made.store.bytes_out,
-        "watches": made.store.watches,
+        "asks_per_s_peak": testbed.store.peak_request_rate(),
+        "asks": dict(testbed.store.requests_by_method),
+        "bytes_out": testbed.store.bytes_out,
+        "watches": testbed.store.watches,
         "listed_last_s": round(listed_after, 1) if listed else None,
         "ready_median_s": round(ready[len(ready) // 2], 2) if ready else None,
         "all_know_s": round(known_after, 1) if known else None,
     }
 
 
-async def served_without_list_service(made: World) -> int:
-    """Restart all nodes with the list service down, and send one request to each; how many were served."""
-    nodes = made.fleet
-    await made.store.stop()
+async def served_without_list_service(testbed: Testbed) -> int:
+    """Restart all nodes while the list service is down; return how many serve a request afterwards."""
+    nodes = testbed.fleet
+    await testbed.store.stop()
     for node in nodes.running():
         await nodes.kill(node)
     await nodes.start_all()
@@ -163,7 +164,7 @@
     )
     running = nodes.running()
     served = 0
-    for first in range(0, len(running), SATURATION):  # no more at a time than the backends bear
+    for first in range(0, len(running), SATURATION):  # in batches that do not saturate the backends
         requests = (node.ask("GET", "/balance/1") for node in running[first : first + SATURATION])
         served += sum(reply.status == HTTPStatus.OK for reply in await asyncio.gather(*requests))
     return served
@@ -173,7 +174,7 @@
 
 
 class Callers:
-    """Callers that arrive at a rate at random nodes, and give up after their patience."""
+    """Sends requests to random nodes at a given rate, each with the timeout of a caller."""
 
     def __init__(self, nodes: Fleet, seed: int) -> None:
         self.nodes = nodes
@@ -182,13 +183,13 @@
         self.served = 0
         self.rejected = 0
         self.other = 0
-        self.served_by_second: Counter[int] = Counter()  # by the second in which they were sent
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.served_by_second: Counter[int] = Counter()  # keyed by the second in which the request was sent
+        self.pending: set[asyncio.Task[None]] = set()
 
     async def _send(self, node: FleetNode, second: int) -> None:
         reply = NOT_REACHED
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(CALLER_TIMEOUT_S):
                 reply = await node.ask("GET", f"/balance/{self.sent}")
         if reply.status == HTTPStatus.OK:
             self.served += 1
@@ -198,52 +199,52 @@
         else:
             self.other += 1
 
-    async def arrive(self, rate: float, seconds: float) -> None:
-        """Send requests at a rate, for so long."""
+    async def send_at_rate(self, rate: float, seconds: float) -> None:
+        """Send requests as a Poisson process, then wait until all of them end."""
         async for arrival in arrivals(seconds, rate, self.random):
             running = self.nodes.running()
             if not running:
                 continue
             self.sent += 1
             task = asyncio.ensure_future(self._send(self.random.choice(running), int(arrival.elapsed)))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
-        while self.tasks:
-            await asyncio.gather(*self.tasks)
+            self.pending.add(task)
+            task.add_done_callback(self.pending.discard)
+        while self.pending:
+            await asyncio.gather(*self.pending)
 
 
 SLOW_START = f'ramp bears={SATURATION} connects={SATURATION / MEAN_RUN_S:g} rise="4s"'
 
 
 class CrowdResult(NamedTuple):
-    """What became of a flash crowd at a cold fleet."""
+    """Outcome of a flash crowd that meets a cold fleet."""
 
     callers: Callers
-    peak_in_progress: int  # over all backends
-    saturated_samples: int  # in which a backend was far beyond its saturation
+    peak_in_progress: int  # runs, summed over all backends
+    saturated_samples: int  # samples with a backend above twice its saturation
 
 
-async def flash_crowd(count: int, seconds: float, load: float, pool: str) -> CrowdResult:
-    """Send requests at a load, in times the capacity, to a fleet that has just started."""
-    async with world(count, pool) as made:
-        nodes = made.fleet
+async def run_flash_crowd(count: int, seconds: float, load: float, pool: str) -> CrowdResult:
+    """Send requests to a fleet that has just started; `load` is a multiple of its capacity."""
+    async with run_testbed(count, pool) as testbed:
+        nodes = testbed.fleet
         await nodes.start_all()
         await becomes_true(lambda: all(node.events("phase") for node in nodes.running()), READY_TIMEOUT_S)
         callers = Callers(nodes, 5)
         peak = 0
         saturated_samples = 0
-        arriving = asyncio.ensure_future(callers.arrive(load * CAPACITY, seconds))
-        while not arriving.done():
-            in_progress = [backend.in_progress for backend in made.backends]
+        sending = asyncio.ensure_future(callers.send_at_rate(load * CAPACITY, seconds))
+        while not sending.done():
+            in_progress = [backend.in_progress for backend in testbed.backends]
             peak = max(peak, sum(in_progress))
             saturated_samples += max(in_progress) > 2 * SATURATION
             await asyncio.sleep(POLL_INTERVAL_S)
-        await arriving
+        await sending
     return CrowdResult(callers, peak, saturated_samples)
 
 
 def crowd_figures(result: CrowdResult, seconds: float) -> Figures:
-    """The figures of a flash crowd."""
+    """Return the figures of a flash crowd."""
     callers = result.callers
     half = seconds / 2
     served_later = sum(served for second, served in callers.served_by_second.items() if second >= half)
@@ -258,10 +259,10 @@
     }
 
 
-async def slow_start_gain(count: int, seconds: float, load: float) -> Figures:
-    """Figures of backends while a flash crowd meets a cold fleet, with slow start and without."""
-    ours = await flash_crowd(count, seconds, load, SLOW_START)
-    baseline = await flash_crowd(count, seconds, load, "")
+async def slow_start_figures(count: int, seconds: float, load: float) -> Figures:
+    """Compare a flash crowd at a cold fleet with slow start and without."""
+    ours = await run_flash_crowd(count, seconds, load, SLOW_START)
+    baseline = await run_flash_crowd(count, seconds, load, "")
     gain = ours.callers.served / max(1, baseline.callers.served)
     return {
         "below": {
@@ -273,56 +274,56 @@
 
 
 class WarmStart(Enum):
-    """What a new node knows of its backends when it starts."""
+    """The estimates of its backends with which a new node starts."""
 
-    LEARNED = "learned"  # from a peer
-    COLD = "cold"  # nothing
-    STALE = "stale"  # from a peer, and wrong by now
+    LEARNED = "learned"  # taken from a peer
+    COLD = "cold"  # none
+    STALE = "stale"  # taken from a peer, but outdated
 
 
-async def served_after_start(warm_start: WarmStart, requests: int) -> float:
-    """The fraction of requests that a new node serves in time with three of six backends slow."""
+async def in_time_fraction_after_start(warm_start: WarmStart, requests: int) -> float:
+    """Return the fraction that a new node serves in time with three of six backends slow."""
     store = EtcdStub()
-    more = MORE.format(asks=MAX_REQUESTS_PER_S, count=2, within="3s")
+    list_service_settings = LIST_SERVICE_SETTINGS.format(asks=MAX_REQUESTS_PER_S, count=2, within="3s")
     async with started(new_backends(BACKENDS, 0, LEARNING_RUN_S)) as backends:
         await store.start()
         for backend in backends[:SLOW_BACKENDS]:
             backend.slowdown = SLOWDOWN
         addresses = [backend.address for backend in backends]
-        async with fleet(2, store.port, addresses, more=more, seeds=1) as nodes:
-            donor, new = nodes.nodes.values()
+        async with fleet(2, store.port, addresses, more=list_service_settings, seeds=1) as nodes:
+            donor, new_node = nodes.nodes.values()
             if warm_start is not WarmStart.COLD:
                 await nodes.start(donor)
                 await becomes_true(donor.ready_after, NODE_TIMEOUT_S)
-                await Callers(nodes, 3).arrive(LEARNING_RATE, LEARNING_S)
+                await Callers(nodes, 3).send_at_rate(DONOR_REQUESTS_PER_S, DONOR_LOAD_S)
             if warm_start is WarmStart.STALE:
                 for number, backend in enumerate(backends):
                     backend.slowdown = 1.0 if number < SLOW_BACKENDS else SLOWDOWN
-            await nodes.start(new)
-            await becomes_true(new.ready_after, NODE_TIMEOUT_S)
-            served = await served_in_time(new, requests)
+            await nodes.start(new_node)
+            await becomes_true(new_node.ready_after, NODE_TIMEOUT_S)
+            served = await count_served_in_time(new_node, requests)
         await store.stop()
     return served / requests
 
 
-async def served_in_time(node: FleetNode, requests: int) -> int:
-    """Requests that a node serves in time, sent one after another at a rate."""
+async def count_served_in_time(node: FleetNode, requests: int) -> int:
+    """Send requests one after another at a fixed rate; return how many are served in time."""
     served = 0
     for number in range(requests):
-        began = time.monotonic()
+        started_at = time.monotonic()
         reply = await node.ask("GET", f"/balance/{number}")
-        served += reply.status == HTTPStatus.OK and time.monotonic() - began < IN_TIME_S
-        await asyncio.sleep(max(0.0, 1 / LEARNING_REQUESTS_PER_S - (time.monotonic() - began)))
+        served += reply.status == HTTPStatus.OK and time.monotonic() - started_at < LATENCY_OBJECTIVE_S
+        await asyncio.sleep(max(0.0, 1 / NEW_NODE_REQUESTS_PER_S - (time.monotonic() - started_at)))
     return served
 
 
-async def learning(seconds: float, rounds: int) -> Figures:
-    """What a new node serves in its first seconds, by what it knows; medians over rounds."""
-    requests = int(seconds * LEARNING_REQUESTS_PER_S)
+async def warm_start_figures(seconds: float, rounds: int) -> Figures:
+    """Measure what a new node serves in its first seconds, by its estimates; medians over rounds."""
+    requests = int(seconds * NEW_NODE_REQUESTS_PER_S)
     served: dict[WarmStart, list[float]] = {warm_start: [] for warm_start in WarmStart}
     for _ in range(rounds):
         fractions = await asyncio.gather(
-            *(served_after_start(warm_start, requests) for warm_start in WarmStart)
+            *(in_time_fraction_after_start(warm_start, requests) for warm_start in WarmStart)
         )
         for warm_start, fraction in zip(WarmStart, fractions, strict=True):
             served[warm_start].append(fraction)
@@ -336,27 +337,29 @@
 
 
 async def measure(quick: bool) -> Figures:
-    """All figures, with progress on standard error."""
+    """Make all measurements, with progress on standard error."""
     report = Report()
     report.figures["asks_per_s"] = MAX_REQUESTS_PER_S
-    announce("asks by size, in virtual time")
+    announce("list service requests by fleet size, in virtual time")
     sizes = (10, 100, 300) if quick else (10, 100, 1000, 3000, 10_000)
     report.figures |= starts_by_size(sizes, sizes[:3])
-    announce("restarts of a part, in virtual time")
+    announce("restarts of part of the fleet, in virtual time")
     for name, restart in RESTARTS.items():
         report.figures[name] = restart_figures(100 if quick else 300, restart, Member)
         if not quick:
             report.figures[f"{name}, naive"] = restart_figures(300, restart, NaiveMember)
-    await report.add("processes", processes(24 if quick else 200))
-    await report.add("servers below", slow_start_gain(24, 4.0 if quick else 30.0, 1.5))
-    await report.add("learning", learning(3.0 if quick else 10.0, 1 if quick else 5))
+    await report.add("processes", process_figures(24 if quick else 200))
+    await report.add(
+        "flash crowd, with and without slow start", slow_start_figures(24, 4.0 if quick else 30.0, 1.5)
+    )
+    await report.add("warm start", warm_start_figures(3.0 if quick else 10.0, 1 if quick else 5))
     return report.figures
 
 
 @click.command()
 @click.option("--quick", is_flag=True)
 def main(quick: bool) -> None:
-    """Measure, and print one line of JSON."""
+    """Run the benchmark and print its figures as one line of JSON."""
     print_figures(asyncio.run(measure(quick)))
 
 
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -1,9 +1,10 @@
-"""Leader election by lease: `python -m benchmarks.duties [--quick]`.
+"""Measures leader election of singleton tasks: `python -m benchmarks.duties [--quick]`.
 
-Real `serve` processes on loopback, with an etcd stub and with a consensus store of their own: how long a
-singleton task is without a leader, whether two nodes ever believe that they lead, the memory of a process.
-The real `Elector` in virtual time: requests at the store by the fleet size, moves on the loss of a node, and
-drawn faults. The last line is JSON with every figure.
+Real `serve` processes on loopback, with an etcd stub or with their own consensus store, show how long a
+singleton task has no leader, whether two nodes ever believe that they lead, and the memory of a process.
+The real `Elector` in virtual time shows the request rate at the store by fleet size, the changes of leaders
+after the loss of a node, and the invariants under random faults. The last line of output is JSON with every
+figure.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 
 NODES = 5
 TASK = "settle"
-SETTLED = 60.0  # seconds of virtual time until a fleet has its leaders
-STEADY = 60.0  # seconds over which requests are counted
+SETTLING_TIME = 60.0  # seconds of virtual time after the election of all leaders
+COUNTING_TIME = 60.0  # seconds of virtual time
 LEADER_TIMEOUT = 30.0  # seconds
-LEAD_TIME = 1.0  # seconds that a leader leads before its fault
-RECOVERY_MARGIN = 0.5  # seconds after twice the lease, until a faulted node is started again
-ANSWER_TIMEOUT = 0.5  # seconds within which an answer counts
+TIME_BEFORE_FAULT = 1.0  # seconds between two faults, in which a leader leads undisturbed
+RECOVERY_MARGIN = 0.5  # seconds added to twice the lease before a faulted node is started again
+ANSWER_TIMEOUT = 0.5  # seconds; later answers do not count as served in time
 
 Fault = Callable[[ElectionFleet, FleetNode], Awaitable[None]]
 
@@ -40,49 +41,54 @@
 # Processes
 
 
-async def _up(node: FleetNode) -> None:
+async def _wait_until_up(node: FleetNode) -> None:
     await soon(lambda: node.events("phase"))
 
 
-async def _ready(elections: ElectionFleet) -> None:
+async def _wait_until_all_ready(elections: ElectionFleet) -> None:
     await soon(lambda: all(node.ready_after() for node in elections.nodes))
 
 
-async def orderly(elections: ElectionFleet, leader: FleetNode) -> None:
-    """The leader shuts down gracefully."""
+async def shut_down_leader(elections: ElectionFleet, leader: FleetNode) -> None:
+    """Shut the leader down gracefully."""
     await elections.fleet.drain(leader)
 
 
-async def crash(elections: ElectionFleet, leader: FleetNode) -> None:
-    """The leader is killed."""
+async def kill_leader(elections: ElectionFleet, leader: FleetNode) -> None:
+    """Kill the leader."""
     await elections.fleet.kill(leader)
 
 
-async def stall(elections: ElectionFleet, leader: FleetNode) -> None:
-    """The leader's process is suspended for twice its lease."""
+async def suspend_leader(elections: ElectionFleet, leader: FleetNode) -> None:
+    """Suspend the leader's process for twice its lease."""
     elections.fleet.suspend(leader)
     asyncio.get_running_loop().call_later(2 * LEASE_DURATION, elections.fleet.resume, leader)
 
 
-async def cut(elections: ElectionFleet, leader: FleetNode) -> None:
-    """The leader reaches neither the store nor other nodes for twice its lease."""
+async def partition_leader(elections: ElectionFleet, leader: FleetNode) -> None:
+    """Cut the leader off from the store and from all other nodes for twice its lease."""
     net = elections.fleet.net
     others = ["store", *(node.name for node in elections.nodes if node is not leader)]
     net.cut([leader.name], others)
     asyncio.get_running_loop().call_later(2 * LEASE_DURATION, net.cut, [leader.name], others, None)
 
 
-FAULTS: dict[str, Fault] = {"orderly": orderly, "crash": crash, "stall": stall, "cut": cut}
+FAULTS: dict[str, Fault] = {
+    "orderly": shut_down_leader,
+    "crash": kill_leader,
+    "stall": suspend_leader,
+    "cut": partition_leader,
+}
 
 
 async def leaderless_figures(engine: str, name: str, rounds: int) -> Figures:
-    """Times without a leader over the lease, by when each node believed that it led."""
+    """Measure leaderless times, as multiples of the lease, from when each node believed that it led."""
     gaps: list[float] = []
     async with election_fleet(engine, NODES, check_history=False) as elections:
         await elections.fleet.start_all()
         leader = await elections.wait_for_leader(timeout=LEADER_TIMEOUT)
         for _ in range(rounds):
-            await asyncio.sleep(LEAD_TIME)
+            await asyncio.sleep(TIME_BEFORE_FAULT)
             change = await _change_leader(elections, leader, FAULTS[name])
             gaps.append(change.gap)
             leader = change.leader
@@ -98,32 +104,32 @@
 
 
 class LeaderChange(NamedTuple):
-    """The leader after a fault, and seconds without one."""
+    """The leader after a fault, and the seconds without a leader."""
 
     leader: FleetNode
     gap: float
 
 
 async def _change_leader(elections: ElectionFleet, leader: FleetNode, fault: Fault) -> LeaderChange:
-    """Cause a fault of the leader, and bring it back once another one leads."""
-    earlier_gaps = len(_gaps(elections))
+    """Cause a fault of the leader, and start it again, if it ended, once another node leads."""
+    earlier_gaps = len(_leaderless_gaps(elections))
     faulted_at = time.time()
     await fault(elections, leader)
     successor = await elections.wait_for_leader(other_than=leader, timeout=LEADER_TIMEOUT)
-    gap = max(_gaps(elections)[earlier_gaps:], default=0.0)
+    gap = max(_leaderless_gaps(elections)[earlier_gaps:], default=0.0)
     await asyncio.sleep(max(0.0, 2 * LEASE_DURATION + RECOVERY_MARGIN - (time.time() - faulted_at)))
     if not leader.running:
         await elections.fleet.start(leader)
-        await _up(leader)
+        await _wait_until_up(leader)
     return LeaderChange(successor, gap)
 
 
-def _gaps(elections: ElectionFleet) -> list[float]:
+def _leaderless_gaps(elections: ElectionFleet) -> list[float]:
     return election_checker.leaderless_gaps(elections.leaderships(), TASK)
 
 
-async def memory() -> Figures:
-    """Resident MB of a node by engine: with a membership alone, and with singleton tasks on each."""
+async def memory_by_engine() -> Figures:
+    """Measure resident MB of a node: without singleton tasks ("none"), and with them on each engine."""
     figures: Figures = {}
     for engine in ("none", "etcd", "nodes"):
         async with election_fleet(
@@ -132,7 +138,7 @@
             if engine == "none":
                 elections.fleet.values["singleton_tasks"] = ""
             await elections.fleet.start_all()
-            await _ready(elections)
+            await _wait_until_all_ready(elections)
             if engine != "none":
                 await elections.wait_for_leader(timeout=LEADER_TIMEOUT)
             await asyncio.sleep(1.0)
@@ -142,7 +148,7 @@
 
 
 async def served_without_store(seconds: float) -> float:
-    """Requests in time while the store is down, over those while it is up."""
+    """Return the fraction served in time while the store hangs, relative to that while it answers."""
     async with election_fleet("etcd", 3, check_history=False) as elections:
         await elections.fleet.start_all()
         await elections.wait_for_leader()
@@ -155,14 +161,14 @@
 
 
 async def _served_fraction(elections: ElectionFleet, seconds: float) -> float:
-    """Send requests for a time; the fraction that was served in time."""
+    """Send requests for a time; return the fraction that was served in time."""
     served = sent = 0
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
+    ends_at = time.monotonic() + seconds
+    while time.monotonic() < ends_at:
         for node in elections.nodes:
-            began = time.monotonic()
+            sent_at = time.monotonic()
             reply = await node.ask("GET", "/balance/1")
-            served += reply.status == 200 and time.monotonic() - began < ANSWER_TIMEOUT
+            served += reply.status == 200 and time.monotonic() - sent_at < ANSWER_TIMEOUT
             sent += 1
         await asyncio.sleep(0.02)
     return served / sent
@@ -172,7 +178,7 @@
 
 
 class FleetSize(NamedTuple):
-    """Nodes and singleton tasks of a simulated fleet."""
+    """Numbers of nodes and of singleton tasks of a simulated fleet."""
 
     nodes: int
     tasks: int
@@ -182,16 +188,16 @@
 SIZES = (*QUICK_SIZES, FleetSize(300, 200), FleetSize(1000, 200))
 
 
-def requests_by_size(sizes: Sequence[FleetSize]) -> Figures:
-    """Requests a second at the store, steady and in the busiest second of a start."""
+def store_requests_by_size(sizes: Sequence[FleetSize]) -> Figures:
+    """Measure the request rate at the store, in steady state and in the busiest second of a start."""
     figures: Figures = {}
     for size in sizes:
         simulation = ElectionSimulation(size.nodes, size.tasks, ElectorSettings(), 1, clock_drift=0.05)
         all_led_at = simulation.run(600.0, simulation.all_led)
-        steady_from = all_led_at + SETTLED
+        steady_from = all_led_at + SETTLING_TIME
         simulation.run(steady_from)
-        simulation.run(steady_from + STEADY)
-        rate = simulation.requests_per_second(int(steady_from), int(steady_from + STEADY))
+        simulation.run(steady_from + COUNTING_TIME)
+        rate = simulation.requests_per_second(int(steady_from), int(steady_from + COUNTING_TIME))
         figures[str(size.nodes)] = {
             "duties": size.tasks,
             "all_held_s": round(all_led_at, 1),
@@ -201,8 +207,8 @@
     return figures
 
 
-def moves_on_loss(size: FleetSize) -> Figures:
-    """Tasks that change their leader when one node dies, beside those that it led."""
+def node_loss_figures(size: FleetSize) -> Figures:
+    """Count the tasks that change their leader when a node dies, and those that the node led."""
     settings = ElectorSettings(hand_over_after=5.0, hand_over_cooldown=10.0)
     simulation = ElectionSimulation(size.nodes, size.tasks, settings, 2)
     simulation.run(120.0)
@@ -218,8 +224,8 @@
     return {"moved": len(moved), "own_share": len(led_by_victim), "without": leaderless}
 
 
-def drawn_faults(count: int) -> Figures:
-    """Schedules of drawn faults, and those with a breach."""
+def random_fault_figures(count: int) -> Figures:
+    """Count the random fault schedules that break an invariant."""
     failed = sum(
         bool(find_breaches(draw_schedule(seed, 8, 100.0), 8, 6, seed, QUICK_SETTINGS))
         for seed in range(count)
@@ -228,24 +234,24 @@
 
 
 async def measure(quick: bool) -> Figures:
-    """All figures, with progress."""
+    """Make all measurements, with progress on standard error."""
     figures: Figures = {"lease_s": LEASE_DURATION}
-    announce("requests by size, in virtual time")
-    figures["store"] = requests_by_size(QUICK_SIZES if quick else SIZES)
-    figures["moves_on_loss"] = moves_on_loss(FleetSize(50, 100) if quick else FleetSize(100, 200))
-    announce("drawn faults, in virtual time")
-    figures["drawn"] = drawn_faults(5 if quick else 100)
+    announce("store requests by fleet size, in virtual time")
+    figures["store"] = store_requests_by_size(QUICK_SIZES if quick else SIZES)
+    figures["moves_on_loss"] = node_loss_figures(FleetSize(50, 100) if quick else FleetSize(100, 200))
+    announce("random faults, in virtual time")
+    figures["drawn"] = random_fault_figures(5 if quick else 100)
     engines = ("etcd",) if quick else ("etcd", "nodes")
     faults = ("orderly", "crash") if quick else tuple(FAULTS)
     for engine in engines:
         for name in faults:
             if (engine, name) == ("nodes", "cut"):
-                continue  # members reach each other past the gates
+                continue  # nodes of this engine reach each other without the links that the fault cuts
             announce(f"{engine}: {name}")
             figures[f"{engine}_{name}"] = await leaderless_figures(engine, name, 1 if quick else 5)
     if not quick:
         announce("memory")
-        figures["memory_mb"] = await memory()
+        figures["memory_mb"] = await memory_by_engine()
         announce("service without the store")
         figures["served_without_store"] = await served_without_store(10.0)
     return figures
@@ -254,7 +260,7 @@
 @click.command()
 @click.option("--quick", is_flag=True)
 def main(quick: bool) -> None:
-    """Measure, and print one line of JSON."""
+    """Run the benchmark and print its figures as one line of JSON."""
     print_figures(asyncio.run(measure(quick)))
 
 
--- a/benchmarks/extproc.py
+++ b/benchmarks/extproc.py
@@ -1,7 +1,9 @@
-"""Costs of a verdict and gains of the processor: `python -m benchmarks.extproc [--quick]`.
+"""Measures the cost of verdicts and the gain from external processing.
 
-Open loops run in processes of their own and count latency from the intended time of sending. The proxies, and
-the service behind them, are stubs of this repository. The last line is JSON with every figure.
+Run with `python -m benchmarks.extproc [--quick]`.
+Open-loop load comes from separate processes, and its latency counts from the intended time of sending. The
+proxies and the service behind them are stubs of this repository. The last line of output is JSON with every
+figure.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
 import click
 import orjson
 
-from benchmarks.extproc_node import PATIENT_TIMEOUT_S, VERDICT_TIMEOUT_S, operator_file
+from benchmarks.extproc_node import LONG_VERDICT_TIMEOUT_S, VERDICT_TIMEOUT_S, operator_file
 from benchmarks.measuring import (
     MIB,
     Figures,
@@ -33,7 +35,7 @@
     record_latency,
     resident_bytes,
 )
-from benchmarks.service_overload import overload_gain
+from benchmarks.service_overload import overload_figures
 from shelfhaven.config import Address
 from shelfhaven.lab.callers import Connection, connect, read_reply
 from shelfhaven.lab.node import NodeProcess, run_node
@@ -41,15 +43,15 @@
 from shelfhaven.lab.proxy import ProxiedRequest, ProxyStub, UpstreamResponse
 
 CONCURRENCY = 8  # of the closed loop that measures cost
-PAUSE_S = 0.02  # between one caller's requests: a loop without idle time has streams rejected
+PAUSE_S = 0.02  # between the requests of one caller; without it the node rejects streams
 COST_ROUNDS = 3
-OCCUPIED_RETRY_S = 0.01
-WORKERS = 4  # processes of an open loop
+OCCUPIED_RETRY_S = 0.01  # between attempts to occupy the slot
+WORKER_PROCESSES = 4  # that generate the load of an open loop
 MEMORY_STREAMS = 1000
-MEMORY_TIMEOUT_S = 10.0  # that a proxy waits for a verdict while memory is measured
-STREAM_INTERVAL_S = 0.005  # between two streams that are opened
-SETTLING_S = 0.5  # until all streams are open
-LOADS = (0.5, 0.8, 1.0, 1.5)  # of what one core can do
+MEMORY_TIMEOUT_S = 10.0  # of a proxy for a verdict while memory is measured
+STREAM_INTERVAL_S = 0.005  # between the openings of two streams
+STREAM_SETTLING_S = 0.5  # until all streams are open
+LOADS = (0.5, 0.8, 1.0, 1.5)  # multiples of the verdict rate of one core
 PERCENTILES = (50, 99, 99.9)
 
 
@@ -57,11 +59,11 @@
 
 
 @contextlib.asynccontextmanager
-async def occupied(proxies: Address) -> AsyncIterator[None]:
-    """A node's only slot, for a run or a stream, taken by a request until the context ends."""
+async def occupied_slot(proxies: Address) -> AsyncIterator[None]:
+    """Occupy a node's only slot, for a run or for a stream, until the context ends."""
     released = asyncio.Event()
     forwarded = asyncio.Event()
-    occupant = ProxyStub(proxies.port, [], verdict_timeout=PATIENT_TIMEOUT_S)
+    occupant = ProxyStub(proxies.port, [], verdict_timeout=LONG_VERDICT_TIMEOUT_S)
 
     async def serve_when_released(_: ProxiedRequest) -> UpstreamResponse:
         """Answer once the context ends."""
@@ -72,8 +74,8 @@
     occupant.upstream = serve_when_released
     request = asyncio.ensure_future(occupant.ask("GET", "/balance/0"))
     try:
-        async with asyncio.timeout(PATIENT_TIMEOUT_S):
-            while not forwarded.is_set():  # rejected while the previous occupant's slot is not free yet
+        async with asyncio.timeout(LONG_VERDICT_TIMEOUT_S):
+            while not forwarded.is_set():  # the slot of the previous request may not be free yet
                 if request.done():
                     request = asyncio.ensure_future(occupant.ask("GET", "/balance/0"))
                 await asyncio.sleep(OCCUPIED_RETRY_S)
@@ -84,108 +86,113 @@
         await occupant.close()
 
 
-Sender = Callable[[int], Awaitable[bool]]  # a request's number; whether it ended as its row says
+# Takes a request's number; returns whether its outcome was the expected one.
+Sender = Callable[[int], Awaitable[bool]]
 
 
 @dataclass
-class CostRow:
-    """One kind of exchange whose cost is measured.
+class ExchangeCost:
+    """CPU cost of one kind of exchange.
 
     Attributes:
-        node: whose CPU is counted.
+        node: the node whose CPU time is counted.
         send: sends one request.
-        occupied_at: where the node's one slot is taken meanwhile.
-        spent: CPU seconds of the node for a request; one figure for each round.
-        other_ends: exchanges that ended in another way than this kind's.
+        occupied_address: listener of the node whose only slot is occupied meanwhile, if any.
+        cpu_by_round: CPU seconds of the node per request, one value for each round.
+        unexpected_outcomes: number of exchanges whose outcome was not the expected one.
     """
 
     node: NodeProcess
     send: Sender
-    occupied_at: Address | None
-    spent: list[float]
-    other_ends: int = 0
+    occupied_address: Address | None
+    cpu_by_round: list[float]
+    unexpected_outcomes: int = 0
 
     async def measure_round(self, count: int) -> None:
-        """Send so many requests in a closed loop."""
-        occupation = occupied(self.occupied_at) if self.occupied_at else contextlib.nullcontext()
-        async with occupation:
+        """Send `count` requests in a closed loop."""
+        slot = occupied_slot(self.occupied_address) if self.occupied_address else contextlib.nullcontext()
+        async with slot:
             before = cpu_seconds(self.node.pid)
             await closed_loop(count, CONCURRENCY, self._send_one, PAUSE_S)
-            self.spent.append((cpu_seconds(self.node.pid) - before) / count)
+            self.cpu_by_round.append((cpu_seconds(self.node.pid) - before) / count)
 
     async def _send_one(self, number: int) -> None:
-        self.other_ends += not await self.send(number)
+        self.unexpected_outcomes += not await self.send(number)
 
     @property
     def median(self) -> float:
-        """CPU seconds of the node for a request."""
-        return statistics.median(self.spent)
+        """Median CPU seconds of the node per request."""
+        return statistics.median(self.cpu_by_round)
 
 
 async def send_by_proxy(proxy: ProxyStub, expect_forwarded: bool, number: int) -> bool:
-    """Send one request through a proxy; whether its verdict was the expected one."""
+    """Send one request through a proxy; return whether the verdict was the expected one."""
     request = await proxy.ask("GET", f"/balance/{number}")
     return request.forwarded is expect_forwarded
 
 
-async def send_by_subrequest(free: asyncio.Queue[Connection], number: int) -> bool:
-    """Send one subrequest on a free connection; whether it was admitted."""
-    connection = await free.get()
+async def send_by_subrequest(free_connections: asyncio.Queue[Connection], number: int) -> bool:
+    """Send one subrequest on a free connection; return whether it was admitted."""
+    connection = await free_connections.get()
     connection.writer.write(b"GET /balance/%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
     reply = await read_reply(connection.reader)
-    free.put_nowait(connection)
+    free_connections.put_nowait(connection)
     return reply.status == 200
 
 
 class CostNodes(NamedTuple):
-    """A node with capacity, one for a single run, and one for a single stream, each with its proxies."""
+    """A node with free capacity, one limited to a single run and one limited to a single stream."""
 
     idle: NodeProcess
-    idle_at: Address
-    subrequests_at: Address
+    idle_address: Address
+    subrequests_address: Address
     one_run: NodeProcess
-    one_run_at: Address
+    one_run_address: Address
     one_stream: NodeProcess
-    one_stream_at: Address
+    one_stream_address: Address
 
 
 @contextlib.asynccontextmanager
-async def cost_nodes() -> AsyncIterator[CostNodes]:
-    """Run the three nodes."""
-    idle_at = reserved_address()
-    subrequests_at = reserved_address()
-    one_run_at = reserved_address()
-    one_stream_at = reserved_address()
-    one_run_file = operator_file(one_run_at, reserved_address(), max_concurrent=1)
-    one_stream_file = operator_file(one_stream_at, reserved_address(), max_streams=1)
+async def run_cost_nodes() -> AsyncIterator[CostNodes]:
+    """Run the three nodes whose CPU cost is measured."""
+    idle_address = reserved_address()
+    subrequests_address = reserved_address()
+    one_run_address = reserved_address()
+    one_stream_address = reserved_address()
+    one_run_file = operator_file(one_run_address, reserved_address(), max_concurrent=1)
+    one_stream_file = operator_file(one_stream_address, reserved_address(), max_streams=1)
     async with (
-        run_node(operator_file(idle_at, subrequests_at), idle_at) as idle,
-        run_node(one_run_file, one_run_at) as one_run,
-        run_node(one_stream_file, one_stream_at) as one_stream,
+        run_node(operator_file(idle_address, subrequests_address), idle_address) as idle,
+        run_node(one_run_file, one_run_address) as one_run,
+        run_node(one_stream_file, one_stream_address) as one_stream,
     ):
-        yield CostNodes(idle, idle_at, subrequests_at, one_run, one_run_at, one_stream, one_stream_at)
+        yield CostNodes(
+            idle, idle_address, subrequests_address, one_run, one_run_address, one_stream, one_stream_address
+        )
 
 
-async def costs(count: int, rounds: int) -> Figures:
-    """CPU of the node for a continued stream, a rejected one, one beyond the stream limit, and a subrequest.
+async def measure_costs(count: int, rounds: int) -> Figures:
+    """Measure CPU per continued stream, rejected stream, stream beyond the stream limit, and subrequest.
 
-    An exchange that came to another end than the row's (on a slow machine one may be late) is counted in
-    `other_ends`; its CPU stays in the row.
+    The figure "other_ends" counts exchanges with an unexpected outcome (on a slow machine a verdict may be
+    late); their CPU time stays in the cost of their kind.
     """
-    async with cost_nodes() as nodes:
-        continued = ProxyStub(nodes.idle_at.port, [], verdict_timeout=PATIENT_TIMEOUT_S)
-        rejected = ProxyStub(nodes.one_run_at.port, [], verdict_timeout=PATIENT_TIMEOUT_S)
-        limited = ProxyStub(nodes.one_stream_at.port, [], verdict_timeout=PATIENT_TIMEOUT_S)
-        free: asyncio.Queue[Connection] = asyncio.Queue()
+    async with run_cost_nodes() as nodes:
+        continued = ProxyStub(nodes.idle_address.port, [], verdict_timeout=LONG_VERDICT_TIMEOUT_S)
+        rejected = ProxyStub(nodes.one_run_address.port, [], verdict_timeout=LONG_VERDICT_TIMEOUT_S)
+        limited = ProxyStub(nodes.one_stream_address.port, [], verdict_timeout=LONG_VERDICT_TIMEOUT_S)
+        free_connections: asyncio.Queue[Connection] = asyncio.Queue()
         for _ in range(CONCURRENCY):
-            free.put_nowait(await connect(nodes.subrequests_at))
+            free_connections.put_nowait(await connect(nodes.subrequests_address))
         rows = {
-            "continued": CostRow(nodes.idle, partial(send_by_proxy, continued, True), None, []),
-            "rejected": CostRow(nodes.one_run, partial(send_by_proxy, rejected, False), nodes.one_run_at, []),
-            "limited": CostRow(
-                nodes.one_stream, partial(send_by_proxy, limited, False), nodes.one_stream_at, []
+            "continued": ExchangeCost(nodes.idle, partial(send_by_proxy, continued, True), None, []),
+            "rejected": ExchangeCost(
+                nodes.one_run, partial(send_by_proxy, rejected, False), nodes.one_run_address, []
+            ),
+            "limited": ExchangeCost(
+                nodes.one_stream, partial(send_by_proxy, limited, False), nodes.one_stream_address, []
             ),
-            "subrequest": CostRow(nodes.idle, partial(send_by_subrequest, free), None, []),
+            "subrequest": ExchangeCost(nodes.idle, partial(send_by_subrequest, free_connections), None, []),
         }
         for _ in range(rounds):
             for row in rows.values():
@@ -195,8 +202,8 @@
     return cost_figures(rows)
 
 
-def cost_figures(rows: dict[str, CostRow]) -> Figures:
-    """The figures of the rows, relative to a continued stream."""
+def cost_figures(rows: dict[str, ExchangeCost]) -> Figures:
+    """Return costs relative to that of a continued stream."""
     continued = rows["continued"].median
     return {
         "verdicts_per_s": round(1 / continued),
@@ -204,7 +211,7 @@
         "refusal_cost_ratio": round(rows["rejected"].median / continued, 2),
         "turned_away_cost_ratio": round(rows["limited"].median / continued, 2),
         "http_cost_ratio": round(rows["subrequest"].median / continued, 2),
-        "other_ends": sum(row.other_ends for row in rows.values()),
+        "other_ends": sum(row.unexpected_outcomes for row in rows.values()),
     }
 
 
@@ -212,24 +219,24 @@
 
 
 class WorkerResult(TypedDict):
-    """What one process of an open loop prints."""
+    """The result that one process of an open loop prints as JSON."""
 
     asked: int
     forwarded: int
     refused: int
-    without: int  # a verdict
-    missed: int  # verdicts that came too late
-    hist: str  # encoded histogram of latencies
+    without: int  # requests without a verdict
+    missed: int  # verdicts after the proxy's timeout
+    hist: str  # latencies as an encoded HDR histogram
 
 
 async def run_worker(port: int, rate: float, seconds: float, seed: int) -> None:
-    """Be one process of an open loop, and print its result."""
+    """Generate the load of one process of an open loop and print the result."""
     proxy = ProxyStub(port, [], verdict_timeout=VERDICT_TIMEOUT_S)
     histogram = latency_histogram()
     result = WorkerResult(asked=0, forwarded=0, refused=0, without=0, missed=0, hist="")
 
     async def send_one(intended_at: float) -> None:
-        """Send one request, and count its verdict."""
+        """Send one request and count its verdict."""
         request = await proxy.ask("GET", "/balance/1")
         if request.verdict_latency is None:
             result["without"] += 1
@@ -249,11 +256,11 @@
 
 
 async def worker_results(port: int, rate: float, seconds: float) -> list[WorkerResult]:
-    """Run an open loop spread over processes."""
+    """Run an open loop that is spread over several processes."""
     command = [sys.executable, "-m", "benchmarks.extproc", "--worker"]
     processes = []
-    for seed in range(WORKERS):
-        arguments = [str(port), str(rate / WORKERS), str(seconds), str(seed)]
+    for seed in range(WORKER_PROCESSES):
+        arguments = [str(port), str(rate / WORKER_PROCESSES), str(seconds), str(seed)]
         processes.append(
             await asyncio.create_subprocess_exec(*command, *arguments, stdout=asyncio.subprocess.PIPE)
         )
@@ -261,7 +268,7 @@
 
 
 async def open_loop(seconds: float, verdicts_per_s: float, load: float) -> Figures:
-    """Verdict times at a load, which is a fraction of what one core can do."""
+    """Measure verdict latency; `load` is a multiple of the verdict rate of one core."""
     proxies = reserved_address()
     async with run_node(operator_file(proxies, reserved_address()), proxies):
         results = await worker_results(proxies.port, load * verdicts_per_s, seconds)
@@ -283,13 +290,13 @@
 # Memory
 
 
-async def memory(count: int) -> Figures:
-    """Memory of open streams."""
+async def memory_of_streams(count: int) -> Figures:
+    """Measure the memory that open streams take."""
     proxies = reserved_address()
     released = asyncio.Event()
 
     async def serve_when_released(_: ProxiedRequest) -> UpstreamResponse:
-        """Answer once the memory is measured."""
+        """Answer once memory has been measured."""
         await released.wait()
         return UpstreamResponse(200, b"")
 
@@ -302,8 +309,8 @@
         for number in range(count):
             requests.append(asyncio.ensure_future(proxy.ask("GET", f"/balance/{number}")))
             await asyncio.sleep(STREAM_INTERVAL_S)
-        await asyncio.sleep(SETTLING_S)
-        open_streams = len(proxy.log) - 1  # the others were rejected
+        await asyncio.sleep(STREAM_SETTLING_S)
+        open_streams = len(proxy.log) - 1  # without the first request; rejected streams are not in the log
         after = resident_bytes(node.pid)
         released.set()
         await asyncio.gather(*requests)
@@ -315,16 +322,16 @@
 
 
 async def measure(quick: bool) -> Figures:
-    """All figures, with progress."""
+    """Make all measurements, with progress on standard error."""
     report = Report()
     seconds = 3.0 if quick else 15.0
-    await report.add("costs", costs(300 if quick else 2000, COST_ROUNDS))
+    await report.add("costs", measure_costs(300 if quick else 2000, COST_ROUNDS))
     verdicts_per_s = report.figures["verdicts_per_s"]
     assert isinstance(verdicts_per_s, int)
-    await report.add("memory", memory(MEMORY_STREAMS))
+    await report.add("memory", memory_of_streams(MEMORY_STREAMS))
     for load in LOADS:
-        await report.add(f"verdict times at {load:.0%}", open_loop(seconds, verdicts_per_s, load))
-    await report.add("a service at twice its capacity", overload_gain(2 * seconds, 2.0))
+        await report.add(f"verdict latency at {load:.0%}", open_loop(seconds, verdicts_per_s, load))
+    await report.add("service at twice its capacity", overload_figures(2 * seconds, 2.0))
     return report.figures
 
 
@@ -332,7 +339,7 @@
 @click.option("--quick", is_flag=True)
 @click.option("--worker", nargs=4, type=float, hidden=True)
 def main(quick: bool, worker: tuple[float, float, float, float] | None) -> None:
-    """Measure, and print one line of JSON."""
+    """Run the benchmark and print its figures as one line of JSON."""
     if worker:
         port, rate, seconds, seed = worker
         asyncio.run(run_worker(int(port), rate, seconds, int(seed)))
--- a/benchmarks/extproc_node.py
+++ b/benchmarks/extproc_node.py
@@ -1,10 +1,10 @@
-"""The node that `benchmarks.extproc` measures: its operator's file, and how long proxies wait for it."""
+"""Operator configuration and verdict timeouts of the node that `benchmarks.extproc` measures."""
 
 from __future__ import annotations
 
 from shelfhaven.config import Address
 
-FILE = """
+OPERATOR_FILE_TEMPLATE = """
 node "bench" descriptors=8192 stop="1s"
 work at-once={max_concurrent} memory="2GB" callers=4 {{
     class "balance" aim="500ms" deadline="1500ms" worth=1 repeat="safe"
@@ -20,10 +20,10 @@
 }}
 listen "a" protocol="subrequest" address="{subrequests}" mapping="m" verdict="200ms" lease="1ms"
 """
-MAX_CONCURRENT = 4000  # runs
+MAX_CONCURRENT = 4000  # concurrent runs
 MAX_STREAMS = 4000
-VERDICT_TIMEOUT_S = 0.2  # that a proxy waits for a verdict under load
-PATIENT_TIMEOUT_S = 5.0  # that a proxy waits where only the cost counts
+VERDICT_TIMEOUT_S = 0.2  # of a proxy under load
+LONG_VERDICT_TIMEOUT_S = 5.0  # of a proxy where only the CPU cost is measured
 
 
 def operator_file(
@@ -32,7 +32,7 @@
     max_concurrent: int = MAX_CONCURRENT,
     max_streams: int = MAX_STREAMS,
 ) -> str:
-    """The operator's file of one node."""
-    return FILE.format(
+    """Return the operator configuration of one node."""
+    return OPERATOR_FILE_TEMPLATE.format(
         proxies=proxies, subrequests=subrequests, max_concurrent=max_concurrent, max_streams=max_streams
     )
--- a/benchmarks/measuring.py
+++ b/benchmarks/measuring.py
@@ -1,4 +1,4 @@
-"""What benchmarks share: closed and open loops of requests, CPU and memory of processes, figures by name."""
+"""Helpers of the benchmarks: load generators, CPU and memory of processes, latencies, output of figures."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS_PER_SECOND = 1e6
 MIB = 1 << 20
 
 Figure: TypeAlias = "float | str | Sequence[str] | Sequence[float] | Mapping[str, Figure] | None"
-Figures: TypeAlias = dict[str, Figure]  # by name, as they are printed
+Figures: TypeAlias = dict[str, Figure]  # keyed by the names that are printed
 
 
 class Report:
-    """The figures of a benchmark so far; progress goes to standard error."""
+    """Collects the figures of a benchmark and shows progress on standard error."""
 
     def __init__(self) -> None:
         self.figures: Figures = {}
 
     async def add(self, step: str, measurement: Awaitable[Mapping[str, Figure]]) -> None:
-        """Make a measurement and add its figures."""
+        """Await a measurement and add its figures."""
         announce(step)
         self.figures.update(await measurement)
 
 
 class Table:
-    """Rows of figures by name; each is printed once it is known."""
+    """A table of named rows of figures, each printed when it is added."""
 
     def __init__(self, name_width: int) -> None:
         self.name_width = name_width
@@ -49,7 +49,7 @@
 
 
 def announce(step: str) -> None:
-    """Show that a measurement begins."""
+    """Print to standard error that a measurement begins."""
     click.echo(f"{step} ...", err=True)
 
 
@@ -62,13 +62,13 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU seconds that a process has used, in user and in system mode."""
+    """Return the CPU seconds that a process has used in user and system mode."""
     times = psutil.Process(pid).cpu_times()
     return float(times.user + times.system)
 
 
 def resident_bytes(pid: int) -> int:
-    """The resident memory of a process."""
+    """Return the resident set size of a process."""
     return int(psutil.Process(pid).memory_info().rss)
 
 
@@ -78,26 +78,26 @@
 async def closed_loop(
     count: int, concurrency: int, send: Callable[[int], Awaitable[None]], pause: float = 0.0
 ) -> float:
-    """Send numbered requests at a fixed concurrency; return how many ended per second.
+    """Send numbered requests at a fixed concurrency; return the completions per second.
 
-    `pause`: seconds that each caller waits between two requests.
+    Each caller waits `pause` seconds between two requests.
     """
     numbers = iter(range(count))
 
-    async def send_in_turn() -> None:
-        """Be one of the callers."""
+    async def run_caller() -> None:
+        """Send requests one after another until all numbers are used."""
         for number in numbers:
             await send(number)
             if pause:
                 await asyncio.sleep(pause)
 
     started_at = time.monotonic()
-    await asyncio.gather(*(send_in_turn() for _ in range(concurrency)))
+    await asyncio.gather(*(run_caller() for _ in range(concurrency)))
     return count / (time.monotonic() - started_at)
 
 
 class Arrival(NamedTuple):
-    """A request of an open loop: its number from 1, and when it was to be sent."""
+    """A request of an open loop: its number, counted from 1, and the intended time of sending."""
 
     number: int
     elapsed: float  # seconds since the loop began
@@ -105,7 +105,7 @@
 
 
 async def arrivals(seconds: float, rate: float, random: Random) -> AsyncIterator[Arrival]:
-    """Yield the arrivals of a Poisson process, each at its time, whatever the earlier ones came to."""
+    """Yield the arrivals of a Poisson process at their times, without waiting for earlier requests."""
     started_at = time.monotonic()
     elapsed = 0.0
     number = 0
@@ -120,15 +120,15 @@
 
 
 def latency_histogram() -> HdrHistogram:
-    """A histogram of latencies in microseconds."""
+    """Create a histogram of latencies in microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def record_latency(histogram: HdrHistogram, seconds: float) -> None:
     """Add a latency to a histogram."""
-    histogram.record_value(int(seconds * MICROSECONDS))
+    histogram.record_value(int(seconds * MICROSECONDS_PER_SECOND))
 
 
 def percentile_ms(histogram: HdrHistogram, percentile: float) -> float:
-    """A percentile of a histogram of latencies, in milliseconds."""
+    """Return a percentile of a latency histogram in milliseconds."""
     return float(histogram.get_value_at_percentile(percentile)) / 1000
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -1,7 +1,8 @@
-"""Memory of one node over a long day of router connections: `python -m benchmarks.memory [--quick]`.
+"""Measures memory growth of a node over many router connections: `python -m benchmarks.memory [--quick]`.
 
-The node is a process of its own, as on the platform; the render farm agent and the ledger are stubs of this
-repository. The last line is JSON: the node's unique set size (USS), in MB, by quarters of the requests.
+The node is a separate process, as on the platform; the render farm agent and the ledger are stubs of this
+repository. The last line of output is JSON with every figure, among them the unique set size (USS) of the
+node in MB after each quarter of the requests.
 """
 
 from __future__ import annotations
@@ -27,15 +28,15 @@
 from shelfhaven.lab.platform import Agent, Ledger, Members
 from shelfhaven.lab.ports import reserved_port
 
-CONNECTIONS = 40  # at a time
-REQUESTS_PER_CONNECTION = 30  # until a router closes it
+CONNECTIONS = 40  # open at the same time
+REQUESTS_PER_CONNECTION = 30  # after which a router closes it
 MAX_BODY_BYTES = 1024  # of a request
 MAX_RESULT_BYTES = 2048
-KEYED_FRACTION = 0.3  # of requests
-CALL_FRACTION = 0.33  # of runs, that make a downstream call first
+KEYED_FRACTION = 0.3  # of requests, with an idempotency key
+CALL_FRACTION = 0.33  # of runs, which begin with a downstream call
 RUNS_PER_S = 50.0  # inverse of a run's mean duration
-MAX_PAUSE_S = 0.02  # of a router between two requests
-STARTUP_S = 0.3  # from the connection of the node to the first request
+MAX_PAUSE_S = 0.02  # between two requests of a router
+STARTUP_S = 0.3  # between the node's connection to the agent and the first request
 SAMPLES = 8
 QUARTERS = 4
 SETTINGS: dict[str, object] = {
@@ -49,13 +50,13 @@
 }  # fmt: skip
 
 
-async def run_router(port: int, numbers: itertools.count[int], last: int, random: Random) -> None:
-    """Open connections one after another until the last request is sent."""
+async def run_router(port: int, numbers: itertools.count[int], last_number: int, random: Random) -> None:
+    """Send requests on one connection after another until `last_number` is reached."""
     while True:
         router = Router(*await asyncio.open_connection("127.0.0.1", port))
         for request_id in range(1, REQUESTS_PER_CONNECTION + 1):
             number = next(numbers)
-            if number > last:
+            if number > last_number:
                 await router.close()
                 return
             send_request(router, request_id, number, random)
@@ -65,13 +66,13 @@
 
 
 def send_request(router: Router, request_id: int, number: int, random: Random) -> None:
-    """Send one request with a random body, some of them with an idempotency key."""
+    """Send a request with a random body; a fraction of requests has an idempotency key."""
     keyed = random.random() < KEYED_FRACTION
-    more = {"dedupe": f"{number:032x}"} if keyed else {}
+    key_fields = {"dedupe": f"{number:032x}"} if keyed else {}
     body = orjson.dumps("A" * (4 * random.randrange(1, MAX_BODY_BYTES // 4)))[1:-1].decode()
     method = "pay" if keyed else "look"
-    source = random.randrange(100)
-    router.request(request_id, method, call=f"{number:016x}", src=source, body=body, **more)
+    source_id = random.randrange(100)
+    router.request(request_id, method, call=f"{number:016x}", src=source_id, body=body, **key_fields)
 
 
 class RenderFarm(Agent):
@@ -83,34 +84,34 @@
         self.on_launch = self._launch
 
     def _launch(self, run_id: str) -> None:
-        act = self.call_downstream if self.random.random() < CALL_FRACTION else self.passed
-        asyncio.get_running_loop().call_later(self.random.expovariate(RUNS_PER_S), act, run_id)
+        action = self.call_downstream if self.random.random() < CALL_FRACTION else self.passed
+        asyncio.get_running_loop().call_later(self.random.expovariate(RUNS_PER_S), action, run_id)
 
     def passed(self, run_id: str) -> None:
         """Report that a run succeeded."""
         self.notice(f"outcome # {run_id} PASS 5", b"r" * self.random.randrange(MAX_RESULT_BYTES))
 
     def notice(self, text: str, body: bytes | None = None) -> None:
-        """Send a notice, without a copy for a replay."""
+        """Send a notice without keeping a copy for replay."""
         super().notice(text, body)
-        self.notices[-1] = b""  # no link is opened again in this measurement
+        self.notices[-1] = b""  # no connection is reopened, so nothing is replayed
 
 
 class MeasuredNode(NamedTuple):
-    """A node's process, its port for routers, and the render farm behind it."""
+    """A node's process, its router port and the render farm behind it."""
 
     pid: int
     port: int
     farm: RenderFarm
 
     def unique_set_size(self) -> float:
-        """The node's own memory in MB."""
+        """Return the node's unique set size in MB."""
         return round(psutil.Process(self.pid).memory_full_info().uss / MIB, 2)
 
 
 @contextlib.asynccontextmanager
 async def running_node(random: Random) -> AsyncIterator[MeasuredNode]:
-    """Run a node with stubs of its peers, once it is connected to the render farm."""
+    """Run a node with stubs of the other systems, and wait until it connects to the agent."""
     farm = RenderFarm(random)
     ledger = Ledger()
     members = Members()
@@ -139,7 +140,7 @@
 
 
 async def measure(requests: int) -> Figures:
-    """One day; progress goes to standard error."""
+    """Send all requests and sample the memory; progress goes to standard error."""
     random = Random(5)
     async with running_node(random) as node:
         sizes = [node.unique_set_size()]
@@ -147,13 +148,13 @@
         started_at = time.monotonic()
         numbers = itertools.count(1)
         for sample in range(1, SAMPLES + 1):
-            last = requests * sample // SAMPLES
-            routers = (run_router(node.port, numbers, last, random) for _ in range(CONNECTIONS))
+            last_number = requests * sample // SAMPLES
+            routers = (run_router(node.port, numbers, last_number, random) for _ in range(CONNECTIONS))
             await asyncio.gather(*routers)
-            numbers = itertools.count(last + 1)
+            numbers = itertools.count(last_number + 1)
             sizes.append(node.unique_set_size())
             elapsed = time.monotonic() - started_at
-            click.echo(f"{last} requests, {elapsed:.0f} s, {sizes[-1]} MB", err=True)
+            click.echo(f"{last_number} requests, {elapsed:.0f} s, {sizes[-1]} MB", err=True)
         cpu_spent = cpu_seconds(node.pid) - cpu_before
         runs = len(node.farm.launched)
     quarters = [sizes[round(SAMPLES * quarter / QUARTERS)] for quarter in range(1, QUARTERS + 1)]
@@ -170,7 +171,7 @@
 @click.command()
 @click.option("--quick", is_flag=True)
 def main(quick: bool) -> None:
-    """Measure, and print one line of JSON."""
+    """Run the benchmark and print its figures as one line of JSON."""
     print_figures(asyncio.run(measure(20_000 if quick else 200_000)))
 
 
--- a/benchmarks/uwsgi_node.py
+++ b/benchmarks/uwsgi_node.py
@@ -1,4 +1,4 @@
-"""The node that `benchmarks.uwsgi` measures: its operator's file, and the backend stubs behind it."""
+"""Operator configuration and backend stubs of the node that `benchmarks.uwsgi` measures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from shelfhaven.config import Address
 from shelfhaven.lab.backend_stub import BackendStub, ExecutedRun
 
-FILE = """
+OPERATOR_FILE_TEMPLATE = """
 node "bench" descriptors=4096 stop="1s"
 work at-once={max_concurrent} callers=8 {{
     class "balance" aim="500ms" deadline="1500ms" worth=1 repeat="safe"
@@ -29,7 +29,7 @@
 """
 BACKENDS = 4
 BACKEND_WORKERS = 4
-MAX_CONCURRENT = 16  # runs of a node, as many as its backends have workers
+MAX_CONCURRENT = 16  # concurrent runs of a node: the number of workers of all its backends
 
 
 def operator_file(
@@ -39,8 +39,8 @@
     max_concurrent: int = MAX_CONCURRENT,
     keep_alive: bool = False,
 ) -> str:
-    """The operator's file of one node."""
-    return FILE.format(
+    """Return the operator configuration of one node."""
+    return OPERATOR_FILE_TEMPLATE.format(
         servers="\n".join(f'    server "{backend.address}"' for backend in backends),
         gateways=gateways,
         routers=routers,
@@ -50,7 +50,7 @@
 
 
 def new_backends(count: int, mean_run_s: float, seed: int = 1) -> list[BackendStub]:
-    """Backend stubs with one log of runs."""
+    """Create backend stubs that share one log of runs."""
     runs: list[ExecutedRun] = []
     return [
         BackendStub(f"v{number}", runs, BACKEND_WORKERS, mean_run_s, seed + number) for number in range(count)
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -1,10 +1,10 @@
-"""Failover between zones: `python -m benchmarks.zones [--quick]`.
+"""Measures failover between zones: `python -m benchmarks.zones [--quick]`.
 
-In virtual time, with the real gossip, follower and controller and with traffic as a fluid: the value earned,
-as a fraction of what an omniscient planner earns, beside routing to the nearest zone alone and evenly to all;
-delays, overshoot, swings and wrong moves; messages and bytes of the gossip by the fleet's size. With real
-`serve` processes: the fraction of local runs, and the cost of reserving an idempotency key over the zones.
-The last line is JSON with every figure.
+Simulations in virtual time, with the real gossip, follower and controller and a fluid model of traffic, show
+the value earned as a fraction of what an omniscient planner earns, next to nearest-zone routing and to an
+even spread; delays, overshoot, oscillation and wrong decisions; and the messages and bytes of gossip by fleet
+size. Real `serve` processes show the fraction of local runs and the cost of reserving an idempotency key
+across zones. The last line of output is JSON with every figure.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 FAULT_AT = 20.0  # seconds of virtual time
 END_AT = 140.0  # seconds of virtual time
-STEADY_AFTER = 30.0  # seconds after a fault from which swings count
-REQUESTS = 150  # keyed requests, and as many others
-WARM_UP_S = 15.0  # of virtual time before gossip is counted
+SETTLING_TIME = 30.0  # seconds after a fault; oscillation counts from then on
+REQUEST_PAIRS = 150  # each of one keyed request and one without a key
+WARM_UP_S = 15.0  # of virtual time before gossip is measured
 STALL_INTERVAL_S = 10.0
 STALL_S = 4.0
 DECISION_TIMEOUT_S = 60.0  # of virtual time
-SPREAD_TIMEOUT_S = 30.0  # of virtual time
-INFORMED_FRACTION = 0.99  # of the nodes that have to follow a decision
-BACKEND_LIMIT = 16  # concurrent runs at a backend for each node
-NORMAL_LOAD_INTERVAL_S = 0.1  # between two requests at a node
+FOLLOW_TIMEOUT_S = 30.0  # of virtual time
+INFORMED_FRACTION = 0.99  # of nodes that must follow a decision before it counts as followed
+BACKEND_LIMIT = 16  # concurrent runs of one node at a backend
+NORMAL_LOAD_INTERVAL_S = 0.1  # between two requests to a node
 LOCAL_SAMPLE_S = 6.0
 DRAWN_SCHEDULES = 40
 TOPUP = 'deadline="1500ms" window="4s"'
@@ -48,7 +48,7 @@
 Fault = Callable[[FailoverSimulation], None]
 
 
-def _fail(simulation: FailoverSimulation, zones: Sequence[str], failure_rate: float) -> None:
+def _fail_runs(simulation: FailoverSimulation, zones: Sequence[str], failure_rate: float) -> None:
     for zone in zones:
         simulation.zones[zone].failure_rate = failure_rate
 
@@ -57,8 +57,8 @@
     simulation.zones["z1"].speed = 0.5
 
 
-def _flap(simulation: FailoverSimulation) -> None:
-    """The zone is lost and comes back every three seconds for a minute."""
+def _flap_zone(simulation: FailoverSimulation) -> None:
+    """Alternate between losing and restarting the zone every three seconds for a minute."""
     for turn in range(10):
         simulation.after(6.0 * turn, partial(simulation.lose_zone, "z1"))
         simulation.after(6.0 * turn + 3.0, partial(simulation.restart_zone, "z1"))
@@ -69,7 +69,7 @@
     simulation.after(30.0, partial(simulation.restart_zone, "z1"))
 
 
-def _cut_off(simulation: FailoverSimulation) -> None:
+def _partition_zone(simulation: FailoverSimulation) -> None:
     simulation.is_cut = lambda sender, receiver: (sender.zone == "z1") != (receiver.zone == "z1")
 
 
@@ -78,8 +78,8 @@
     simulation.lose_zone(simulation.leader.zone)
 
 
-def _cut_regions(simulation: FailoverSimulation) -> None:
-    """Two regions do not reach each other; the store stays with the second."""
+def _partition_regions(simulation: FailoverSimulation) -> None:
+    """Cut two regions off from each other; only the east keeps the consensus store."""
     regions = simulation.regions
     simulation.is_cut = lambda sender, receiver: regions[sender.zone] != regions[receiver.zone]
     simulation.is_store_cut = lambda node: regions[node.zone] == "west"
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True)
 class Case:
-    """A fault, and the fleet that it happens to."""
+    """A fault and the simulated fleet in which it occurs."""
 
     begin: Fault
     settings: SimulationSettings = field(default_factory=SimulationSettings)
@@ -103,77 +103,77 @@
     ),
     "lost, back cold": Case(_lose_and_restart),
     "half speed": Case(_slow_down),
-    "failing": Case(partial(_fail, zones=["z1"], failure_rate=0.8)),
+    "failing": Case(partial(_fail_runs, zones=["z1"], failure_rate=0.8)),
     "failing, half fits": Case(
-        partial(_fail, zones=["z1"], failure_rate=0.8),
+        partial(_fail_runs, zones=["z1"], failure_rate=0.8),
         SimulationSettings(demand=OTHERS_AT_70, class_mix=CLASS_MIX),
     ),
-    "flapping": Case(_flap, SimulationSettings(utilization=0.5)),
-    "cut off": Case(_cut_off),
-    "regions cut apart": Case(_cut_regions, SimulationSettings(regions=WEST_EAST), zones=4),
+    "flapping": Case(_flap_zone, SimulationSettings(utilization=0.5)),
+    "cut off": Case(_partition_zone),
+    "regions cut apart": Case(_partition_regions, SimulationSettings(regions=WEST_EAST), zones=4),
     "decider's zone lost": Case(_lose_leaders_zone),
-    "all ill": Case(partial(_fail, zones=["z0", "z1", "z2"], failure_rate=0.5)),
+    "all ill": Case(partial(_fail_runs, zones=["z0", "z1", "z2"], failure_rate=0.5)),
 }
 
 
 def fault_figures(name: str, nodes: int, seed: int) -> Figures:
-    """Figures of one fault."""
+    """Simulate one fault and return its figures."""
     case = FAULTS[name]
     simulation = FailoverSimulation(case.zones, nodes, seed, case.settings)
     simulation.run(FAULT_AT)
     case.begin(simulation)
     simulation.run(END_AT)
-    moves = [at for at, _ in simulation.decisions]
+    decision_times = [at for at, _ in simulation.decisions]
     return {
         "kept": round(simulation.earned_fraction(FAULT_AT), 4),
         "kept_near": round(simulation.earned_fraction(FAULT_AT, attrgetter("nearest_only")), 4),
         "kept_even": round(simulation.earned_fraction(FAULT_AT, attrgetter("evenly_spread")), 4),
-        "decided_after": round(moves[0] - FAULT_AT, 1) if moves else None,
-        "moves": len(moves),
+        "decided_after": round(decision_times[0] - FAULT_AT, 1) if decision_times else None,
+        "moves": len(decision_times),
         "overshoot": round(_overshoot(simulation), 3),
-        "swings_late": _late_swings(simulation),
+        "swings_late": _count_late_swings(simulation),
         "breaches": len(simulation.violations),
     }
 
 
 def _overshoot(simulation: FailoverSimulation) -> float:
-    """The highest utilization of a zone without a fault, over the zone's median one."""
+    """Return the highest ratio of peak to median utilization among the zones without a fault."""
     utilizations = [sample.utilization for sample in simulation.samples if sample.at >= FAULT_AT]
-    median = {zone: statistics.median(one[zone] for one in utilizations) for zone in simulation.zones}
+    median = {zone: statistics.median(by_zone[zone] for by_zone in utilizations) for zone in simulation.zones}
     return max(
-        max(one[zone] for one in utilizations) / median[zone]
+        max(by_zone[zone] for by_zone in utilizations) / median[zone]
         for zone in simulation.zones
         if zone != "z1" and median[zone] > 0.1
     )
 
 
-def _late_swings(simulation: FailoverSimulation) -> int:
-    """How often the zone's diverted fraction changes its direction once things have settled."""
-    settled = [sample for sample in simulation.samples if sample.at >= FAULT_AT + STEADY_AFTER]
-    diverted = [sample.diverted.get("z1", 0.0) for sample in settled]
+def _count_late_swings(simulation: FailoverSimulation) -> int:
+    """Count the reversals of the faulty zone's diverted fraction after the settling time."""
+    settled_samples = [sample for sample in simulation.samples if sample.at >= FAULT_AT + SETTLING_TIME]
+    diverted = [sample.diverted.get("z1", 0.0) for sample in settled_samples]
     changes = [after - before for before, after in pairwise(diverted) if abs(after - before) > 1e-9]
     return sum((before > 0) != (after > 0) for before, after in pairwise(changes))
 
 
 def gossip_figures(nodes: int, seconds: float, loss: float = 0.0, stalled: float = 0.0) -> Figures:
-    """A fleet without a zone's fault: the cost of gossip, and live nodes that are suspected wrongly.
+    """Measure gossip while no zone is faulty: its cost, false failure detections, and then a failover.
 
-    `stalled`: the fraction of nodes that stall every ten seconds.
+    `loss` is the fraction of messages lost, `stalled` the fraction of nodes that stall every ten seconds.
     """
     simulation = FailoverSimulation(3, nodes, 5)
     simulation.run(WARM_UP_S)
     simulation.loss = loss
     simulation.sent.clear()
-    began = simulation.now
+    started_at = simulation.now
     cpu_before = time.process_time()
     if stalled:
         _plan_stalls(simulation, seconds, stalled)
-    simulation.run(began + seconds)
+    simulation.run(started_at + seconds)
     cpu_seconds = time.process_time() - cpu_before
     messages_per_second = sum(simulation.sent.values()) / len(simulation.nodes) / seconds
     message_bytes = simulation.bytes / max(1, simulation.measured)
     wrong_moves = len(simulation.decisions)
-    failover = _lose_zone(simulation)
+    failover = _measure_failover(simulation)
     return {
         "messages_s": round(messages_per_second, 2),
         "bytes_s": round(messages_per_second * message_bytes),
@@ -195,27 +195,27 @@
 
 
 class Failover(NamedTuple):
-    """Seconds from a fault to the decision, and from that until the nodes follow it."""
+    """Seconds from a fault to the decision, and from the decision until the nodes follow it."""
 
     decided_after: float
     followed_after: float
 
 
-def _lose_zone(simulation: FailoverSimulation) -> Failover:
+def _measure_failover(simulation: FailoverSimulation) -> Failover:
     lost_at = simulation.now
     decisions = len(simulation.decisions)
     simulation.lose_zone("z1")
     simulation.run(lost_at + DECISION_TIMEOUT_S, lambda: len(simulation.decisions) > decisions)
     decided_at = simulation.now
-    simulation.run(decided_at + SPREAD_TIMEOUT_S, lambda: simulation.informed_fraction() >= INFORMED_FRACTION)
+    simulation.run(decided_at + FOLLOW_TIMEOUT_S, lambda: simulation.informed_fraction() >= INFORMED_FRACTION)
     return Failover(decided_at - lost_at, simulation.now - decided_at)
 
 
 # Processes
 
 
-async def _local_figures(utilization: float) -> Figures:
-    """No fault, and a load at each zone's nodes that is a fraction of its backends' capacity."""
+async def _local_run_figures(utilization: float) -> Figures:
+    """Measure local runs without a fault; `utilization` is the load relative to the backends' capacity."""
     async with world(pool="limit first=16 least=16 most=16", at_once=32) as zones:
         for backend in zones.backends.values():
             backend.worker_slots = asyncio.Semaphore(64)
@@ -230,11 +230,11 @@
 
 
 async def _process_figures() -> Figures:
-    """Six nodes in three zones without a fault: the fraction of local runs, the cost of reserving a key."""
-    return {**await _loaded_world(keys=False), **await _loaded_world(keys=True)}
+    """Measure six nodes in three zones without a fault: local runs and the cost of reserving a key."""
+    return {**await _reservation_figures(keys=False), **await _reservation_figures(keys=True)}
 
 
-async def _loaded_world(keys: bool) -> Figures:
+async def _reservation_figures(keys: bool) -> Figures:
     name = "claimed" if keys else "alone"
     async with world(keys=keys, topup=TOPUP) as zones:
         await zones.up()
@@ -246,7 +246,7 @@
         extra_time = statistics.median(durations.keyed) - statistics.median(durations.plain)
         figures: Figures = {
             f"keyed_over_plain_ms_{name}": round(1000 * extra_time, 2),
-            f"keyed_served_{name}": round(len(durations.keyed) / REQUESTS, 3),
+            f"keyed_served_{name}": round(len(durations.keyed) / REQUEST_PAIRS, 3),
         }
         if not keys:
             figures["near_share"] = round(_local_fraction(zones), 4)
@@ -257,7 +257,7 @@
 
 
 class RequestDurations(NamedTuple):
-    """Seconds of the requests with idempotency keys that were served, and of those without."""
+    """Durations in seconds of served requests with idempotency keys, and of all requests without."""
 
     keyed: list[float]
     plain: list[float]
@@ -266,21 +266,22 @@
 async def _request_durations(zones: World) -> RequestDurations:
     durations = RequestDurations([], [])
     nodes = itertools.cycle(zones.nodes)
-    for number in range(REQUESTS):  # alternating, so that other load of the machine affects both
+    # The two kinds alternate, so that other load on the machine affects both equally.
+    for number in range(REQUEST_PAIRS):
         node = next(nodes)
-        began = time.monotonic()
+        started_at = time.monotonic()
         reply = await zones.topped_up(node, f"k{number}")
         assert reply
         if reply.status == 200:
-            durations.keyed.append(time.monotonic() - began)
-        began = time.monotonic()
+            durations.keyed.append(time.monotonic() - started_at)
+        started_at = time.monotonic()
         await node.ask("GET", "/balance/1")
-        durations.plain.append(time.monotonic() - began)
+        durations.plain.append(time.monotonic() - started_at)
     return durations
 
 
 def _local_fraction(zones: World) -> float:
-    """The fraction of all runs that began in the zone of their node."""
+    """Return the fraction of runs that started in the zone of their node."""
     local = total = 0
     for node in zones.nodes:
         for line in node.events("load")[-1:]:
@@ -295,7 +296,7 @@
 
 
 async def _failover_figures() -> Figures:
-    """A zone is killed under load: seconds until all follow that, and what is served meanwhile."""
+    """Kill a zone under load; measure the time until all nodes divert its traffic, and the success rate."""
     async with world() as zones:
         await zones.up()
         zones.load(0.02)
@@ -313,12 +314,12 @@
 QUICK_FAULTS = ("none", "lost at 70%", "failing", "failing, half fits", "all ill")
 QUICK_SIZES = (10, 40)
 SIZES = (10, 100, 1000, 5000)
-NAME_WIDTH = 28  # of the printed table
+NAME_WIDTH = 28  # columns for the row names of the printed table
 LARGE_FLEET = 500  # nodes above which gossip is simulated for a shorter time
 
 
 def _schedule_figures() -> Figures:
-    """Schedules of drawn faults, and those with a violation."""
+    """Count the random fault schedules that violate an invariant."""
     failed = [
         seed for seed in range(DRAWN_SCHEDULES) if find_violations(draw_faults(seed, 3, 120.0), 3, 18, seed)
     ]
@@ -342,14 +343,14 @@
     table.add("gossip, a tenth still", gossip_figures(100, 120.0, stalled=0.1))
     table.add("drawn faults", _schedule_figures())
     table.add("processes", asyncio.run(_process_figures()))
-    table.add("at 90% even load", asyncio.run(_local_figures(0.9)))
+    table.add("at 90% even load", asyncio.run(_local_run_figures(0.9)))
     table.add("a zone killed", asyncio.run(_failover_figures()))
 
 
 @click.command()
 @click.option("--quick", is_flag=True, help="Few faults and small fleets: under 40 s.")
 def main(quick: bool) -> None:
-    """Print each figure once it is known, and all of them as JSON last."""
+    """Run the benchmark: print each row when it is known, then all figures as JSON."""
     table = Table(NAME_WIDTH)
     if quick:
         _measure_quick(table)
--- a/tests/lab/test_uwsgi_benchmark.py
+++ b/tests/lab/test_uwsgi_benchmark.py
@@ -1,4 +1,8 @@
-"""The uwsgi benchmark on a machine so loaded that a round lasts longer than the node waits for a message."""
+"""The uwsgi benchmark on a slow machine, where one round exceeds the node's message timeout.
+
+The node closes silent connections, so router connections that are opened before a slow uwsgi round are gone
+when the JSON-RPC round begins.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 from tests.peers import run_async
 
 
-def test_routers_connections_outlast_slow_rounds_of_the_other_protocols(
+def test_slow_rounds_of_other_protocols_do_not_break_router_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def ask_slowly(listener: Address | Path, method: str, path: str) -> Reply:
