--- a/shelfhaven/lab/demo.py
+++ b/shelfhaven/lab/demo.py
@@ -279,8 +279,7 @@
         load: request rate as a multiple of the capacity.
         seed: seed of all random choices.
         progress: whether to print progress to standard error.
-        drain_at: fraction of the duration after which the node is told to shut down, while requests continue
-            to arrive; above 1 the load ends first.
+        drain_at: fraction of the duration after which the node drains; above 1 the load ends first.
         with_server_outage: whether one backend is stopped between `STOP_AT` and `RESTART_AT`.
     """
     runs: list[ExecutedRun] = []
--- a/shelfhaven/lab/election_simulation.py
+++ b/shelfhaven/lab/election_simulation.py
@@ -2,9 +2,7 @@
 
 It simulates the clock of each node, the links to the consensus store, the store, and a target that checks
 fencing tokens; it counts the requests and checks the invariants. What an elector receives never depends on
-its internal state.
-
-All times and rates are simulated: sockets, processes and CPU time play no part in them.
+its internal state. All times and rates are simulated: sockets, processes and CPU time play no part in them.
 """
 
 from __future__ import annotations
--- a/shelfhaven/lab/failover_simulation.py
+++ b/shelfhaven/lab/failover_simulation.py
@@ -62,7 +62,7 @@
     controller: FailoverSettings = field(default_factory=FailoverSettings)
 
 
-def _served_value(sample: TrafficSample) -> float:
+def _served(sample: TrafficSample) -> float:
     return sample.served
 
 
@@ -239,10 +239,8 @@
         if node.follower.accept(self.now, policy):
             node.gossip.policy_version = policy.version
             if policy.epoch < previous.epoch:
-                violation = (
-                    f"{self.now:.2f} s: {node.name} follows epoch {policy.epoch} after {previous.epoch}"
-                )
-                self.violations.append(violation)
+                breach = f"{self.now:.2f} s: {node.name} follows epoch {policy.epoch} after {previous.epoch}"
+                self.violations.append(breach)
 
     # Each tick
 
@@ -344,15 +342,11 @@
             return
         if policy.epoch != base.epoch:
             self.decisions.append((self.now, policy))
-        self._write_policy(self.leader, self.controller, policy)
+        self._write(self.leader, self.controller, policy)
 
-    def _write_policy(
-        self, leader: SimulatedNode, controller: FailoverController, policy: TrafficPolicy
-    ) -> None:
+    def _write(self, leader: SimulatedNode, controller: FailoverController, policy: TrafficPolicy) -> None:
         if policy.version <= self.policy.version:
-            self.violations.append(
-                f"{self.now:.2f} s: {policy.version} was written after {self.policy.version}"
-            )
+            self.violations.append(f"{self.now:.2f} s: {policy.version} written after {self.policy.version}")
         self.policy = replace(policy, decided_by=leader.name)
         controller.policy_written(self.now, self.policy)
         self._accept_policy(leader, self.policy)
@@ -385,18 +379,14 @@
     def _read_policy_from_store(self) -> None:
         if int(self.now / TICK) % int(STORE_READ_INTERVAL / TICK):
             return
-        readers = sorted(self.nodes.values(), key=lambda node: hash_fraction(node.name, "watch"))[
-            :STORE_READERS
-        ]
-        for node in readers:
+        ranked_nodes = sorted(self.nodes.values(), key=lambda node: hash_fraction(node.name, "watch"))
+        for node in ranked_nodes[:STORE_READERS]:
             if self._can_reach_store(node) and self.policy.epoch:
                 self._accept_policy(node, self.policy)
 
     # Results
 
-    def earned_fraction(
-        self, since: float, earned: Callable[[TrafficSample], float] = _served_value
-    ) -> float:
+    def earned_fraction(self, since: float, earned: Callable[[TrafficSample], float] = _served) -> float:
         """Return the value earned since a time as a fraction of what an omniscient planner earns."""
         samples = [sample for sample in self.samples if sample.at >= since]
         best = sum(sample.best for sample in samples)
--- a/shelfhaven/lab/fleet.py
+++ b/shelfhaven/lab/fleet.py
@@ -84,16 +84,13 @@
     """One node: its ports, its process and its log.
 
     Attributes:
-        gateway: the port for gateways.
+        gateway, routers: the ports for gateways and routers; `routers` is 0 if there is none.
         peer: the port that the node listens on for peers, behind `gate`.
         gate: the gate in front of `peer`; its address is the one that the node advertises.
         store_gate: the gate on the link to the list service; None without a list service.
         folder: the directory of the node's files.
-        routers: the port for routers; 0 if there is none.
-        process: the current or last process; None before the first start.
-        lines: the log lines read so far, of all starts.
-        read: number of bytes of the log that have been read into `lines`.
-        starts: how often the process was started.
+        process, starts: the current or last process, None before the first start; the number of starts.
+        lines, read: the log lines read so far, of all starts, and the bytes of the log that they take.
     """
 
     name: str
@@ -225,8 +222,7 @@
         servers: addresses of the pool's servers.
         net: all gates.
         nodes: all nodes by name.
-        by_gate: names of nodes by the address of their gate.
-        by_port: names of nodes by the port that they send datagrams from.
+        by_gate, by_port: names of nodes by the address of their gate, and by the port of their datagrams.
         zone_of: zones of servers by address; a server without one gets no zone.
         history: the operations on nodes, in order.
         values: values for the operator configuration of all nodes.
